--- a/burdocksill/packets/follower.py
+++ b/burdocksill/packets/follower.py
@@ -9,7 +9,7 @@
 
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.observe.lines import StateLine
-from burdocksill.packets.knowledge import Knowledge
+from burdocksill.packets.store_cache import Knowledge
 from burdocksill.platform.exceptions import (
     PlatformAnswerTooLargeError,
     PlatformCompactedError,
--- a/burdocksill/packets/following.py
+++ b/burdocksill/packets/following.py
@@ -12,9 +12,9 @@
 from burdocksill.network.http import HttpConnection
 from burdocksill.network.protocols import Network
 from burdocksill.packets.follower import Follower
-from burdocksill.packets.knowledge import Knowledge
 from burdocksill.packets.learner import Learner
 from burdocksill.packets.settings import PacketSettings
+from burdocksill.packets.store_cache import Knowledge
 from burdocksill.packets.store_probe import StoreProbe
 from burdocksill.platform.keys import READERS
 from burdocksill.platform.records import EVERYTHING, read_reader, write_reader
--- a/tests/steps/readers_fleet.py
+++ b/tests/steps/readers_fleet.py
@@ -14,7 +14,7 @@
     put_upstream,
 )
 
-from burdocksill.packets.knowledge import Progress
+from burdocksill.packets.store_cache import Progress
 from burdocksill.platform.records import UPSTREAMS
 from burdocksill_lab.packets.fleet import STORE, SharedFleet
 from burdocksill_lab.packets.store import Trouble
