--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -16,7 +16,7 @@
 from burdocksill.packets.placement import PacketPlacer
 from burdocksill.packets.routing import RoutingTable
 from burdocksill.packets.settings import PacketSettings
-from burdocksill.packets.store_cache import Knowledge, Progress
+from burdocksill.packets.store_cache import Progress, StoreCache
 from burdocksill.packets.upstreams import Upstreams
 from burdocksill.packets.verdicts import Drop, Forward, Reason, Reset
 
@@ -48,7 +48,7 @@
         *,
         datagrams: socket.socket,
         forwarder: Forwarder,
-        knowledge: Knowledge,
+        knowledge: StoreCache,
     ) -> None:
         """Take all fields."""
         self.datagrams = datagrams
@@ -175,7 +175,7 @@
             log=PacketDecisions(),
             flows=FlowTable(table=table),
         ),
-        knowledge=Knowledge(
+        knowledge=StoreCache(
             learner=Learner(
                 table=table,
                 placer=placer,
--- a/burdocksill/packets/follower.py
+++ b/burdocksill/packets/follower.py
@@ -9,7 +9,7 @@
 
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.observe.lines import StateLine
-from burdocksill.packets.store_cache import Knowledge
+from burdocksill.packets.store_cache import StoreCache
 from burdocksill.platform.exceptions import (
     PlatformAnswerTooLargeError,
     PlatformCompactedError,
@@ -95,7 +95,7 @@
 
     prefix: str
     source: Source
-    knowledge: Knowledge
+    knowledge: StoreCache
     rng: Random
     turn: Turn = attrs.field(factory=AlwaysTurn)
     pause: float = FIRST_PAUSE_SECONDS
--- a/burdocksill/packets/following.py
+++ b/burdocksill/packets/following.py
@@ -14,7 +14,7 @@
 from burdocksill.packets.follower import Follower
 from burdocksill.packets.learner import Learner
 from burdocksill.packets.settings import PacketSettings
-from burdocksill.packets.store_cache import Knowledge
+from burdocksill.packets.store_cache import StoreCache
 from burdocksill.packets.store_probe import StoreProbe
 from burdocksill.platform.keys import READERS
 from burdocksill.platform.records import EVERYTHING, read_reader, write_reader
@@ -131,7 +131,7 @@
 
 async def follow(
     settings: PacketSettings,
-    knowledge: Knowledge,
+    knowledge: StoreCache,
     around: Surroundings,
 ) -> Following:
     """Compose the tasks; with an address for peers the readings are shared."""
@@ -153,7 +153,7 @@
 async def share(
     settings: PacketSettings,
     peer: Address,
-    knowledge: Knowledge,
+    knowledge: StoreCache,
     around: Surroundings,
 ) -> Sharing:
     """Bind the socket for other nodes and compose what uses it."""
--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -56,7 +56,7 @@
         self.current_at = max(self.current_at, current_at)
 
 
-class Knowledge:
+class StoreCache:
     """Put what the store or another node tells into force, in order.
 
     Both may tell the same, or one of them late: only what is newer than all
--- a/burdocksill/readers/protocols.py
+++ b/burdocksill/readers/protocols.py
@@ -8,7 +8,7 @@
 from burdocksill.readers.messages import ReaderEntry, Sign
 
 
-class Knowledge(Protocol):
+class StoreCache(Protocol):
     """Hold what is known of the store, and take in more."""
 
     @property
--- a/burdocksill/readers/publisher.py
+++ b/burdocksill/readers/publisher.py
@@ -10,7 +10,7 @@
 from burdocksill.platform.values import Snapshot, StoredValue
 from burdocksill.readers.changes import ChangeLog
 from burdocksill.readers.datagrams import Ask, Update
-from burdocksill.readers.protocols import Knowledge, Sender
+from burdocksill.readers.protocols import Sender, StoreCache
 from burdocksill.readers.wire import encode_changes, encode_update
 
 # Who has asked is told of changes for this long: until the next ask, and a
@@ -35,7 +35,7 @@
 class Publisher:
     """Answer asks, and send changes to whoever has asked lately."""
 
-    knowledge: Knowledge
+    knowledge: StoreCache
     log: ChangeLog
     clock: Clock
     send: Sender
--- a/burdocksill/readers/subscription.py
+++ b/burdocksill/readers/subscription.py
@@ -12,7 +12,7 @@
 from burdocksill.platform.values import Snapshot
 from burdocksill.readers.datagrams import Ask, Offer, Update
 from burdocksill.readers.messages import Reader
-from burdocksill.readers.protocols import Directory, Knowledge
+from burdocksill.readers.protocols import Directory, StoreCache
 
 # A reader's own knowledge is younger than this, so an ask at this age finds it
 # fresh.
@@ -53,7 +53,7 @@
     name: str
     domain: str
     directory: Directory
-    knowledge: Knowledge
+    knowledge: StoreCache
     clock: Clock
     rng: Random
     # True while this node itself reads the store for its domain.
--- a/tests/steps/platform_store.py
+++ b/tests/steps/platform_store.py
@@ -18,7 +18,7 @@
 from burdocksill.packets.learner import Learner
 from burdocksill.packets.placement import PacketPlacer
 from burdocksill.packets.routing import RoutingTable
-from burdocksill.packets.store_cache import Knowledge, Progress
+from burdocksill.packets.store_cache import Progress, StoreCache
 from burdocksill.packets.upstreams import Upstreams
 from burdocksill.platform.calls import range_pages
 from burdocksill.platform.records import EVERYTHING, MANIFEST, RecordDecoder
@@ -318,7 +318,7 @@
         follower = Follower(
             prefix=EVERYTHING,
             source=platform,
-            knowledge=Knowledge(
+            knowledge=StoreCache(
                 learner=Learner(
                     table=table,
                     placer=placer,
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -11,7 +11,7 @@
 
 from burdocksill.network.addresses import Address
 from burdocksill.packets.learner import Learner
-from burdocksill.packets.store_cache import Knowledge
+from burdocksill.packets.store_cache import StoreCache
 from burdocksill.platform.protocols import SwapResult
 from burdocksill.platform.records import MANIFEST, UPSTREAMS
 from burdocksill.platform.values import Snapshot, StoredValue
@@ -144,7 +144,7 @@
     world.put_manifest(1, {8443: 'ledger'})
     world.add_upstream('a')
     node = world.add_node('a')
-    context.known: Knowledge = node.core.knowledge
+    context.known: StoreCache = node.core.knowledge
     context.learner: Learner = node.core.learner
     context.before = set(context.learner.upstreams.by_name)
     context.world = world
