--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -39,7 +39,7 @@
         'counts',
         'datagrams',
         'forwarder',
-        'knowledge',
+        'store_cache',
         'packet_at',
     )
 
@@ -48,12 +48,12 @@
         *,
         datagrams: socket.socket,
         forwarder: Forwarder,
-        knowledge: StoreCache,
+        store_cache: StoreCache,
     ) -> None:
         """Take all fields."""
         self.datagrams = datagrams
         self.forwarder = forwarder
-        self.knowledge = knowledge
+        self.store_cache = store_cache
         self.counts: Counter[str] = Counter()
         # When the last packet came in.
         self.packet_at: float = float('-inf')
@@ -63,12 +63,12 @@
     @property
     def learner(self) -> Learner:
         """Return what puts news into force."""
-        return self.knowledge.learner
+        return self.store_cache.learner
 
     @property
     def progress(self) -> Progress:
         """Return how far the store is known."""
-        return self.knowledge.progress
+        return self.store_cache.progress
 
     def drain(self, now: float) -> None:
         """Handle at most one batch of waiting packets."""
@@ -175,7 +175,7 @@
             log=PacketDecisions(),
             flows=FlowTable(table=table),
         ),
-        knowledge=StoreCache(
+        store_cache=StoreCache(
             learner=Learner(
                 table=table,
                 placer=placer,
--- a/burdocksill/packets/follower.py
+++ b/burdocksill/packets/follower.py
@@ -95,7 +95,7 @@
 
     prefix: str
     source: Source
-    knowledge: StoreCache
+    store_cache: StoreCache
     rng: Random
     turn: Turn = attrs.field(factory=AlwaysTurn)
     pause: float = FIRST_PAUSE_SECONDS
@@ -116,17 +116,17 @@
             except PlatformCompactedError as error:
                 self.failed(error)
                 # Changes are lost; only a whole reading can tell what stands.
-                self.knowledge.progress.incomplete = True
+                self.store_cache.progress.incomplete = True
             except PlatformAnswerTooLargeError as error:
                 logger.info(
                     'changes left for a whole reading',
                     extra={
-                        'revision': self.knowledge.revision,
+                        'revision': self.store_cache.revision,
                         'expected_bytes': error.expected,
-                        'whole_bytes': self.knowledge.whole_bytes(),
+                        'whole_bytes': self.store_cache.whole_bytes(),
                     },
                 )
-                self.knowledge.progress.incomplete = True
+                self.store_cache.progress.incomplete = True
             except BurdocksillError as error:
                 self.turn.called(answered=False)
                 self.failed(error)
@@ -135,11 +135,11 @@
 
     async def step(self) -> None:
         """Read everything once, and wait for changes from then on."""
-        progress = self.knowledge.progress
+        progress = self.store_cache.progress
         asked_at = progress.now()
         if not progress.revision or progress.incomplete:
             found = await self.source.read_prefix(self.prefix)
-            self.knowledge.take_all(found, asked_at)
+            self.store_cache.take_all(found, asked_at)
         else:
             found = await self.changes()
         self.pause = FIRST_PAUSE_SECONDS
@@ -163,8 +163,8 @@
             logger.info(
                 'watch made again',
                 extra={
-                    'revision': self.knowledge.revision,
-                    'age_s': round(self.knowledge.age(), 3),
+                    'revision': self.store_cache.revision,
+                    'age_s': round(self.store_cache.age(), 3),
                     'cause': str(error),
                 },
             )
@@ -175,7 +175,7 @@
 
     async def ask_changes(self, wait: float, margin: float) -> Snapshot:
         """Make one call for changes, and learn them."""
-        progress = self.knowledge.progress
+        progress = self.store_cache.progress
         asked_at = progress.now()
         found = await self.source.changes(
             prefix=self.prefix,
@@ -188,7 +188,7 @@
         if took > wait:
             # It was the wait that ran out: the rest is what a call takes.
             self.call_seconds = took - wait
-        self.knowledge.take_changes(found, asked_at + found.unchanged_seconds)
+        self.store_cache.take_changes(found, asked_at + found.unchanged_seconds)
         return found
 
     def margin(self) -> float:
@@ -198,7 +198,7 @@
 
     def wait_seconds(self) -> float:
         """Return how long the store may hold the next call."""
-        left = KNOWN_WITHIN_SECONDS - self.knowledge.age()
+        left = KNOWN_WITHIN_SECONDS - self.store_cache.age()
         return min(max(left, SHORTEST_WAIT_SECONDS), KNOWN_WITHIN_SECONDS)
 
     def largest_bytes(self) -> int:
@@ -208,15 +208,15 @@
         whole reading the newest alone. Over a slow link a node that read more
         than that would fall further behind with each answer.
         """
-        return max(self.knowledge.whole_bytes(), SMALL_ANSWER_BYTES)
+        return max(self.store_cache.whole_bytes(), SMALL_ANSWER_BYTES)
 
     def failed(self, error: BurdocksillError) -> None:
         """Write down that touch is lost; what is known stays in force."""
-        self.knowledge.learner.lose_touch()
+        self.store_cache.learner.lose_touch()
         self.line.enter(
             'store lost',
             level=logging.WARNING,
-            revision=str(self.knowledge.revision),
+            revision=str(self.store_cache.revision),
             cause=str(error),
         )
         if isinstance(error, PlatformCutShortError):
@@ -224,7 +224,7 @@
             logger.warning(
                 'answer cut short',
                 extra={
-                    'revision': self.knowledge.revision,
+                    'revision': self.store_cache.revision,
                     'received_bytes': error.received,
                     'expected_bytes': error.expected,
                 },
--- a/burdocksill/packets/following.py
+++ b/burdocksill/packets/following.py
@@ -131,7 +131,7 @@
 
 async def follow(
     settings: PacketSettings,
-    knowledge: StoreCache,
+    store_cache: StoreCache,
     around: Surroundings,
 ) -> Following:
     """Compose the tasks; with an address for peers the readings are shared."""
@@ -139,12 +139,12 @@
     follower = Follower(
         prefix=EVERYTHING,
         source=platform,
-        knowledge=knowledge,
+        store_cache=store_cache,
         rng=around.rng,
     )
     following = Following(follower=follower, platform=platform)
     if settings.peer is not None:
-        sharing = await share(settings, settings.peer, knowledge, around)
+        sharing = await share(settings, settings.peer, store_cache, around)
         following.sharing = sharing
         follower.turn = sharing.exchange.turn
     return following
@@ -153,28 +153,28 @@
 async def share(
     settings: PacketSettings,
     peer: Address,
-    knowledge: StoreCache,
+    store_cache: StoreCache,
     around: Surroundings,
 ) -> Sharing:
     """Bind the socket for other nodes and compose what uses it."""
     socket = await around.network.open_datagrams(peer)
-    directory: Learner = knowledge.learner
+    directory: Learner = store_cache.learner
     subscription = Subscription(
         name=settings.name,
         domain=settings.domain,
         directory=directory,
-        knowledge=knowledge,
+        store_cache=store_cache,
         clock=around.clock,
         rng=around.rng,
     )
-    revision = knowledge.revision
+    revision = store_cache.revision
     publisher = Publisher(
-        knowledge=knowledge,
+        store_cache=store_cache,
         log=ChangeLog(start=revision, end=revision),
         clock=around.clock,
         send=socket.send,
     )
-    knowledge.listeners.append(publisher.publish)
+    store_cache.listeners.append(publisher.publish)
     # A waiting call holds its connection, so leases have one of their own.
     platform = make_platform(settings, around)
     itself = Reader(name=settings.name, address=peer)
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -239,7 +239,7 @@
         stored = await self.store.read(self.key, stale=True)
         if stored is None:
             return False
-        known_revision = self.subscription.knowledge.revision
+        known_revision = self.subscription.store_cache.revision
         return self.claim.yields_to(self.read_entry(stored), known_revision)
 
     async def leave(self) -> None:
--- a/burdocksill/readers/publisher.py
+++ b/burdocksill/readers/publisher.py
@@ -35,7 +35,7 @@
 class Publisher:
     """Answer asks, and send changes to whoever has asked lately."""
 
-    knowledge: StoreCache
+    store_cache: StoreCache
     log: ChangeLog
     clock: Clock
     send: Sender
@@ -90,13 +90,13 @@
         body: bytes | None,
     ) -> None:
         """Send an update."""
-        knowledge = self.knowledge
+        store_cache = self.store_cache
         update = Update(
             token=subscriber.token,
             after=subscriber.revision,
-            revision=max(knowledge.revision, subscriber.revision),
-            age=knowledge.age(),
-            stable=knowledge.stable_for,
+            revision=max(store_cache.revision, subscriber.revision),
+            age=store_cache.age(),
+            stable=store_cache.stable_for,
             followers=len(self.subscribers),
         )
         self.send(encode_update(update, body), address)
--- a/burdocksill/readers/subscription.py
+++ b/burdocksill/readers/subscription.py
@@ -53,7 +53,7 @@
     name: str
     domain: str
     directory: Directory
-    knowledge: StoreCache
+    store_cache: StoreCache
     clock: Clock
     rng: Random
     # True while this node itself reads the store for its domain.
@@ -76,7 +76,7 @@
     @property
     def must_read(self) -> bool:
         """Return True while changes are known that only the store tells."""
-        return self.left_to_store > self.knowledge.revision
+        return self.left_to_store > self.store_cache.revision
 
     @property
     def must_call(self) -> bool:
@@ -87,7 +87,7 @@
         """Return the seconds until that may be so, 0 if it is."""
         if self.reads or self.must_read:
             return 0
-        age = self.knowledge.age()
+        age = self.store_cache.age()
         if age <= OLD_SECONDS:
             self.turn_at = 0
             return OLD_SECONDS - age
@@ -122,14 +122,14 @@
         if self.reads or reader is None or not self.hears_reader:
             return None
         offer = Offer(
-            revision=self.knowledge.revision,
-            age=self.knowledge.age(),
+            revision=self.store_cache.revision,
+            age=self.store_cache.age(),
         )
         return reader, offer
 
     def wants(self, offer: Offer) -> bool:
         """Return True when a follower knows what this reader can't read."""
-        age = self.knowledge.age()
+        age = self.store_cache.age()
         return self.reads and age > OLD_SECONDS and offer.age < age
 
     def asks_in(self) -> float:
@@ -137,7 +137,7 @@
         since = self.clock() - self.asked_at
         if self.behind:
             return 0
-        age = self.knowledge.age()
+        age = self.store_cache.age()
         if self.reads and age < OLD_SECONDS:
             # The store tells; others are asked only when it can't be reached.
             return OLD_SECONDS - age
@@ -149,7 +149,7 @@
     def next_ask(self) -> tuple[Reader, Ask] | None:
         """Return whom to ask what now, None if nobody can be asked."""
         reader = self.choose()
-        if reader is None or not self.knowledge.revision:
+        if reader is None or not self.store_cache.revision:
             return None
         return reader, self.ask_of(reader.address)
 
@@ -158,7 +158,7 @@
         now = self.clock()
         ask = Ask(
             token=self.rng.getrandbits(TOKEN_BITS),
-            revision=self.knowledge.revision,
+            revision=self.store_cache.revision,
         )
         self.asked[ask.token] = Asked(address, now)
         if len(self.asked) > TOKENS_KEPT:
@@ -197,11 +197,11 @@
         if update.changes is None:
             self.leave_to_store(update, sender)
             return True
-        if update.after > self.knowledge.revision:
+        if update.after > self.store_cache.revision:
             self.behind = True
             return True
         found = Snapshot(values=update.changes, revision=update.revision)
-        self.knowledge.take_from_peer(
+        self.store_cache.take_from_peer(
             found,
             age=update.age,
             stable=update.stable,
@@ -225,7 +225,7 @@
             logger.info(
                 'changes left to the store',
                 extra={
-                    'revision': self.knowledge.revision,
+                    'revision': self.store_cache.revision,
                     'newest': update.revision,
                     'reader': str(sender),
                 },
--- a/burdocksill_lab/packets/fleet.py
+++ b/burdocksill_lab/packets/fleet.py
@@ -139,7 +139,7 @@
             clock=trio.current_time,
             rng=Random(self.rng.random()),
         )
-        following = await follow(settings, core.knowledge, around)
+        following = await follow(settings, core.store_cache, around)
         node = FleetNode(settings=settings, core=core, following=following)
         self.nodes = [one for one in self.nodes if not one_is(one, name)]
         self.nodes.append(node)
--- a/burdocksill_lab/packets/power.py
+++ b/burdocksill_lab/packets/power.py
@@ -63,8 +63,8 @@
         for _ in self.nodes:
             node = world.add_node(self.domain)
             if self.hears_readers:
-                node.core.knowledge.take_from_peer(
+                node.core.store_cache.take_from_peer(
                     Snapshot(values=(), revision=world.revision),
                     age=0,
-                    stable=reader.core.knowledge.stable_for,
+                    stable=reader.core.store_cache.stable_for,
                 )
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -103,7 +103,7 @@
         directory=core.learner,
         known=core.learner.placer.outages,
         publisher=Publisher(
-            knowledge=core.knowledge,
+            store_cache=core.store_cache,
             log=ChangeLog(),
             clock=world.time,
             send=send,
--- a/burdocksill_lab/packets/world.py
+++ b/burdocksill_lab/packets/world.py
@@ -242,7 +242,7 @@
         found = Snapshot(values=(change,), revision=self.revision)
         for node in self.nodes:
             if node.follows:
-                node.core.knowledge.take_changes(found, self.timeline.now)
+                node.core.store_cache.take_changes(found, self.timeline.now)
 
     def read_whole(self, node: LabNode) -> None:
         """Let a node read everything that stands in the store."""
@@ -251,7 +251,7 @@
             for key, value in self.store.items()
         )
         found = Snapshot(values=values, revision=self.revision)
-        node.core.knowledge.take_all(found, self.timeline.now)
+        node.core.store_cache.take_all(found, self.timeline.now)
 
     def open_flow(
         self,
--- a/tests/steps/packets_reporters.py
+++ b/tests/steps/packets_reporters.py
@@ -75,7 +75,7 @@
         ahead_seconds=AHEAD_SECONDS,
     )
     node.timeline = ahead
-    node.core.knowledge.clock = lambda: ahead.now
+    node.core.store_cache.clock = lambda: ahead.now
     peer.exchange.clock = lambda: ahead.now
 
 
--- a/tests/steps/platform_store.py
+++ b/tests/steps/platform_store.py
@@ -318,7 +318,7 @@
         follower = Follower(
             prefix=EVERYTHING,
             source=platform,
-            knowledge=StoreCache(
+            store_cache=StoreCache(
                 learner=Learner(
                     table=table,
                     placer=placer,
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -144,7 +144,7 @@
     world.put_manifest(1, {8443: 'ledger'})
     world.add_upstream('a')
     node = world.add_node('a')
-    context.known: StoreCache = node.core.knowledge
+    context.known: StoreCache = node.core.store_cache
     context.learner: Learner = node.core.learner
     context.before = set(context.learner.upstreams.by_name)
     context.world = world
@@ -152,7 +152,7 @@
         name='entry-1',
         domain='a',
         directory=KnownReaders(),
-        knowledge=context.known,
+        store_cache=context.known,
         clock=world.time,
         rng=Random(context.seed),
     )
@@ -415,7 +415,7 @@
         ),
         revision=world.revision + third,
     )
-    context.node.core.knowledge.take_changes(found, world.timeline.now)
+    context.node.core.store_cache.take_changes(found, world.timeline.now)
 
 
 @then('manifest {version:d} is in force')
@@ -515,7 +515,7 @@
         ),
         revision=world.revision,
     )
-    context.node.core.knowledge.take_all(found, world.timeline.now)
+    context.node.core.store_cache.take_all(found, world.timeline.now)
 
 
 @then('{count:d} entries were decoded')
--- a/tools/reader_cost.py
+++ b/tools/reader_cost.py
@@ -27,7 +27,7 @@
     """Answer asks one by one; return the processor time with and without."""
     plain = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     payload = encode_ask(
-        Ask(token=1, revision=exchange.publisher.knowledge.revision),
+        Ask(token=1, revision=exchange.publisher.store_cache.revision),
     )
     with plain:
         idle = await spend(plain, payload, None)
@@ -58,19 +58,19 @@
     world.put_manifest(1, {ROUTE_PORT: 'ledger'})
     core = world.add_node('a').core
     sockets = await SocketNetwork().open_datagrams(Address('127.0.0.1', 0))
-    revision = core.knowledge.revision
+    revision = core.store_cache.revision
     exchange = PeerExchange(
         socket=sockets,
         subscription=Subscription(
             name='r',
             domain='a',
             directory=core.learner,
-            knowledge=core.knowledge,
+            store_cache=core.store_cache,
             clock=time.monotonic,
             rng=Random(1),
         ),
         publisher=Publisher(
-            knowledge=core.knowledge,
+            store_cache=core.store_cache,
             log=ChangeLog(start=revision, end=revision),
             clock=time.monotonic,
             send=sockets.send,
