--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -16,7 +16,7 @@
 from burdocksill.packets.placement import PacketPlacer
 from burdocksill.packets.routing import RoutingTable
 from burdocksill.packets.settings import PacketSettings
-from burdocksill.packets.store_cache import Progress, StoreCache
+from burdocksill.packets.store_cache import StoreCache, SyncProgress
 from burdocksill.packets.upstreams import Upstreams
 from burdocksill.packets.verdicts import Drop, Forward, Reason, Reset
 
@@ -66,7 +66,7 @@
         return self.store_cache.learner
 
     @property
-    def progress(self) -> Progress:
+    def progress(self) -> SyncProgress:
         """Return how far the store is known."""
         return self.store_cache.progress
 
@@ -157,7 +157,7 @@
     """Compose what decides for packets."""
     table = RoutingTable()
     upstreams = Upstreams()
-    progress = Progress(clock=age_clock)
+    progress = SyncProgress(clock=age_clock)
     placer = PacketPlacer(
         domain=settings.domain,
         table=table,
--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -18,7 +18,7 @@
 Listener = Callable[[int, Snapshot], None]
 
 
-class Progress:
+class SyncProgress:
     """Tell how far this node knows the store; it never goes back."""
 
     __slots__ = ('clock', 'current_at', 'incomplete', 'revision')
@@ -69,7 +69,7 @@
         self,
         *,
         learner: Learner,
-        progress: Progress,
+        progress: SyncProgress,
         clock: Clock,
     ) -> None:
         """Take all fields."""
--- a/tests/steps/platform_store.py
+++ b/tests/steps/platform_store.py
@@ -18,7 +18,7 @@
 from burdocksill.packets.learner import Learner
 from burdocksill.packets.placement import PacketPlacer
 from burdocksill.packets.routing import RoutingTable
-from burdocksill.packets.store_cache import Progress, StoreCache
+from burdocksill.packets.store_cache import StoreCache, SyncProgress
 from burdocksill.packets.upstreams import Upstreams
 from burdocksill.platform.calls import range_pages
 from burdocksill.platform.records import EVERYTHING, MANIFEST, RecordDecoder
@@ -325,7 +325,7 @@
                     upstreams=upstreams,
                     decode=RecordDecoder().decode,
                 ),
-                progress=Progress(),
+                progress=SyncProgress(),
                 clock=trio.current_time,
             ),
             rng=Random(context.seed),
--- a/tests/steps/readers_fleet.py
+++ b/tests/steps/readers_fleet.py
@@ -14,7 +14,7 @@
     put_upstream,
 )
 
-from burdocksill.packets.store_cache import Progress
+from burdocksill.packets.store_cache import SyncProgress
 from burdocksill.platform.records import UPSTREAMS
 from burdocksill_lab.packets.fleet import STORE, SharedFleet
 from burdocksill_lab.packets.store import Trouble
@@ -435,9 +435,9 @@
 def make_progress(context: Context) -> None:
     """Prepare what a node keeps of its reading."""
     context.now = 100.0
-    context.progress = Progress(clock=lambda: context.now)
+    context.progress = SyncProgress(clock=lambda: context.now)
     context.progress.reach(5, context.now)
-    assert Progress().clock() > 0
+    assert SyncProgress().clock() > 0
 
 
 @when('its machine is suspended for {seconds:d} seconds')
