--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -256,7 +256,7 @@
         if len(self.unknown) >= UNKNOWN_KEPT:
             self.unknown.clear()
         missed_at = self.unknown.setdefault(packet.echo, self.freshness.now())
-        if self.is_stable(now) and self.freshness.current_at > missed_at:
+        if self.is_stable(now) and self.freshness.synced_at > missed_at:
             return self.reset(packet, Reason.UNKNOWN_ECHO)
         return Drop(Reason.UNKNOWN_ECHO)
 
--- a/burdocksill/packets/protocols.py
+++ b/burdocksill/packets/protocols.py
@@ -14,7 +14,7 @@
     """Tell how old a node's knowledge is."""
 
     @property
-    def current_at(self) -> float:
+    def synced_at(self) -> float:
         """Return the time up to which all changes are known."""
 
     def now(self) -> float:
--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -21,7 +21,7 @@
 class SyncProgress:
     """Tell how far this node knows the store; it never goes back."""
 
-    __slots__ = ('clock', 'current_at', 'incomplete', 'revision')
+    __slots__ = ('clock', 'synced_at', 'incomplete', 'revision')
 
     def __init__(
         self,
@@ -33,14 +33,14 @@
         # Revision of the store up to which all is known; 0: nothing is.
         self.revision: int = 0
         # When all changes up to this time were known.
-        self.current_at: float = NOTHING_READ
+        self.synced_at: float = NOTHING_READ
         # True when changes were lost, so that the store must be read whole.
         self.incomplete = False
 
     @property
     def is_known(self) -> bool:
         """Return True once the store has been read whole."""
-        return self.current_at > NOTHING_READ
+        return self.synced_at > NOTHING_READ
 
     def now(self) -> float:
         """Return the time by which ages are counted."""
@@ -48,12 +48,12 @@
 
     def age(self) -> float:
         """Return the seconds since the knowledge was known to be current."""
-        return self.clock() - self.current_at
+        return self.clock() - self.synced_at
 
-    def reach(self, revision: int, current_at: float) -> None:
+    def reach(self, revision: int, synced_at: float) -> None:
         """Take note that all changes up to a time are known."""
         self.revision = max(self.revision, revision)
-        self.current_at = max(self.current_at, current_at)
+        self.synced_at = max(self.synced_at, synced_at)
 
 
 class StoreCache:
@@ -101,18 +101,18 @@
         """Return about how many bytes a whole reading takes."""
         return sum(self.sizes.values())
 
-    def take_all(self, found: Snapshot, current_at: float) -> None:
+    def take_all(self, found: Snapshot, synced_at: float) -> None:
         """Take in a whole reading, unless a peer has told more meanwhile."""
         self.learner.regain_touch(self.clock())
         if found.revision < self.progress.revision:
             return
         self.progress.incomplete = False
-        self.take(self.difference(found), current_at)
+        self.take(self.difference(found), synced_at)
 
-    def take_changes(self, found: Snapshot, current_at: float) -> None:
+    def take_changes(self, found: Snapshot, synced_at: float) -> None:
         """Take in changes that the store has told."""
         self.learner.regain_touch(self.clock())
-        self.take_newer(found, current_at)
+        self.take_newer(found, synced_at)
 
     def take_from_peer(
         self,
@@ -126,20 +126,20 @@
             self.learner.hear_stable(self.clock() - stable)
         self.take_newer(found, self.progress.now() - age)
 
-    def take_newer(self, found: Snapshot, current_at: float) -> None:
+    def take_newer(self, found: Snapshot, synced_at: float) -> None:
         """Learn what is newer than all that is known."""
         before = self.progress.revision
         # Versions of a manifest that were replaced meanwhile aren't decoded.
         newest = newest_of_each(found.values)
         newer = tuple(one for one in newest if one.revision > before)
-        self.take(found.changed(values=newer), current_at)
+        self.take(found.changed(values=newer), synced_at)
 
-    def take(self, newer: Snapshot, current_at: float) -> None:
+    def take(self, newer: Snapshot, synced_at: float) -> None:
         """Put changes into force and take note of them."""
         self.learner.learn_values(newer, self.clock())
-        self.advance(newer, current_at)
+        self.advance(newer, synced_at)
 
-    def advance(self, newer: Snapshot, current_at: float) -> None:
+    def advance(self, newer: Snapshot, synced_at: float) -> None:
         """Take note of how far all is known, and tell others."""
         before = self.progress.revision
         for one in newer.values:
@@ -147,7 +147,7 @@
                 self.sizes.pop(one.key, None)
             else:
                 self.sizes[one.key] = item_bytes(one)
-        self.progress.reach(newer.revision, current_at)
+        self.progress.reach(newer.revision, synced_at)
         for listener in self.listeners:
             listener(before, newer)
 
--- a/burdocksill_lab/packets/world.py
+++ b/burdocksill_lab/packets/world.py
@@ -299,7 +299,7 @@
             self.timeline.run(0.1)
             for node in self.nodes:
                 if node.follows and node.alive:
-                    node.core.progress.current_at = self.timeline.now - 0.01
+                    node.core.progress.synced_at = self.timeline.now - 0.01
 
 
 Put = Callable[[str, bytes], None]
--- a/tests/steps/packets_start.py
+++ b/tests/steps/packets_start.py
@@ -531,7 +531,7 @@
 def read_at_start(context: Context) -> None:
     """Read the store as a process does before its libraries are there."""
     core = PacketWorld(seed=context.seed).add_node('a').core
-    core.progress.current_at = float('-inf')
+    core.progress.synced_at = float('-inf')
     core.progress.revision = 0
 
     def read(port: int) -> None:
