--- a/burdocksill/packets/faststart.py
+++ b/burdocksill/packets/faststart.py
@@ -163,7 +163,7 @@
 
 def import_while_serving(name: str, core: PacketCore) -> ModuleType:
     """Import a module; packets are forwarded if it is known where to."""
-    if not core.progress.is_known:
+    if not core.progress.is_synced:
         # Packets wait in their socket until the program has read the store.
         return importlib.import_module(name)
     finder = DrainBetweenImports(core=core)
--- a/burdocksill/packets/main.py
+++ b/burdocksill/packets/main.py
@@ -81,7 +81,7 @@
     )
     read_store(settings, core)
     program = import_while_serving(PROGRAM, core)
-    logger.info('program loaded', extra={'known': core.progress.is_known})
+    logger.info('program loaded', extra={'known': core.progress.is_synced})
     ready = (settings.ready.host, settings.ready.port)
     probes = early.probes or bind_probes(ready)
     program.run(settings, core, rng, read_settings, probes)
--- a/burdocksill/packets/node.py
+++ b/burdocksill/packets/node.py
@@ -47,7 +47,7 @@
     @property
     def is_ready(self) -> bool:
         """Return True once routes and upstreams are known, until a stop."""
-        return self.core.progress.is_known and not self.stopping
+        return self.core.progress.is_synced and not self.stopping
 
     async def run(self, *tasks: Task) -> None:
         """Serve until SIGTERM, then for the time that flows need to move."""
--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -38,7 +38,7 @@
         self.incomplete = False
 
     @property
-    def is_known(self) -> bool:
+    def is_synced(self) -> bool:
         """Return True once the store has been read whole."""
         return self.synced_at > NOTHING_READ
 
--- a/burdocksill_lab/packets/fleet.py
+++ b/burdocksill_lab/packets/fleet.py
@@ -179,7 +179,7 @@
         until = trio.current_time() + seconds
         while trio.current_time() < until:
             for node in self.living():
-                if node.core.progress.is_known:
+                if node.core.progress.is_synced:
                     age = node.core.progress.age()
                     self.oldest = max(self.oldest, age)
             await trio.sleep(LOOK_SECONDS)
--- a/tests/steps/packets_start.py
+++ b/tests/steps/packets_start.py
@@ -573,4 +573,4 @@
 def check_goes_on(context: Context, limit: float) -> None:
     """Look at the time, and that nothing is taken for known."""
     assert context.took <= limit, context.took
-    assert not context.core.progress.is_known
+    assert not context.core.progress.is_synced
