--- a/burdocksill/packets/follower.py
+++ b/burdocksill/packets/follower.py
@@ -116,7 +116,7 @@
             except PlatformCompactedError as error:
                 self.failed(error)
                 # Changes are lost; only a whole reading can tell what stands.
-                self.store_cache.progress.incomplete = True
+                self.store_cache.progress.needs_full_read = True
             except PlatformAnswerTooLargeError as error:
                 logger.info(
                     'changes left for a whole reading',
@@ -126,7 +126,7 @@
                         'whole_bytes': self.store_cache.whole_bytes(),
                     },
                 )
-                self.store_cache.progress.incomplete = True
+                self.store_cache.progress.needs_full_read = True
             except BurdocksillError as error:
                 self.turn.called(answered=False)
                 self.failed(error)
@@ -137,7 +137,7 @@
         """Read everything once, and wait for changes from then on."""
         progress = self.store_cache.progress
         asked_at = progress.now()
-        if not progress.revision or progress.incomplete:
+        if not progress.revision or progress.needs_full_read:
             found = await self.source.read_prefix(self.prefix)
             self.store_cache.take_all(found, asked_at)
         else:
--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -21,7 +21,7 @@
 class SyncProgress:
     """Tell how far this node knows the store; it never goes back."""
 
-    __slots__ = ('clock', 'synced_at', 'incomplete', 'revision')
+    __slots__ = ('clock', 'synced_at', 'needs_full_read', 'revision')
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         # When all changes up to this time were known.
         self.synced_at: float = NOTHING_READ
         # True when changes were lost, so that the store must be read whole.
-        self.incomplete = False
+        self.needs_full_read = False
 
     @property
     def is_synced(self) -> bool:
@@ -106,7 +106,7 @@
         self.learner.regain_touch(self.clock())
         if found.revision < self.progress.revision:
             return
-        self.progress.incomplete = False
+        self.progress.needs_full_read = False
         self.take(self.difference(found), synced_at)
 
     def take_changes(self, found: Snapshot, synced_at: float) -> None:
