--- a/burdocksill/packets/faststart.py
+++ b/burdocksill/packets/faststart.py
@@ -114,7 +114,7 @@
         try:
             target = self.pages.send(reply)
         except StopIteration as done:
-            self.core.store_cache.take_all(done.value, self.asked_at)
+            self.core.store_cache.apply_snapshot(done.value, self.asked_at)
             self.end()
         else:
             self.out = self.exchange.request(target)
--- a/burdocksill/packets/follower.py
+++ b/burdocksill/packets/follower.py
@@ -139,7 +139,7 @@
         asked_at = progress.now()
         if not progress.revision or progress.needs_full_read:
             found = await self.source.read_prefix(self.prefix)
-            self.store_cache.take_all(found, asked_at)
+            self.store_cache.apply_snapshot(found, asked_at)
         else:
             found = await self.changes()
         self.pause = FIRST_PAUSE_SECONDS
--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -101,7 +101,7 @@
         """Return about how many bytes a whole reading takes."""
         return sum(self.sizes.values())
 
-    def take_all(self, found: Snapshot, synced_at: float) -> None:
+    def apply_snapshot(self, found: Snapshot, synced_at: float) -> None:
         """Take in a whole reading, unless a peer has told more meanwhile."""
         self.learner.regain_touch(self.clock())
         if found.revision < self.progress.revision:
--- a/burdocksill_lab/packets/world.py
+++ b/burdocksill_lab/packets/world.py
@@ -251,7 +251,7 @@
             for key, value in self.store.items()
         )
         found = Snapshot(values=values, revision=self.revision)
-        node.core.store_cache.take_all(found, self.timeline.now)
+        node.core.store_cache.apply_snapshot(found, self.timeline.now)
 
     def open_flow(
         self,
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -515,7 +515,7 @@
         ),
         revision=world.revision,
     )
-    context.node.core.store_cache.take_all(found, world.timeline.now)
+    context.node.core.store_cache.apply_snapshot(found, world.timeline.now)
 
 
 @then('{count:d} entries were decoded')
