--- a/burdocksill/packets/follower.py
+++ b/burdocksill/packets/follower.py
@@ -188,7 +188,9 @@
         if took > wait:
             # It was the wait that ran out: the rest is what a call takes.
             self.call_seconds = took - wait
-        self.store_cache.take_changes(found, asked_at + found.unchanged_seconds)
+        self.store_cache.apply_changes(
+            found, asked_at + found.unchanged_seconds
+        )
         return found
 
     def margin(self) -> float:
--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -109,7 +109,7 @@
         self.progress.needs_full_read = False
         self.take(self.difference(found), synced_at)
 
-    def take_changes(self, found: Snapshot, synced_at: float) -> None:
+    def apply_changes(self, found: Snapshot, synced_at: float) -> None:
         """Take in changes that the store has told."""
         self.learner.regain_touch(self.clock())
         self.take_newer(found, synced_at)
--- a/burdocksill_lab/packets/world.py
+++ b/burdocksill_lab/packets/world.py
@@ -242,7 +242,7 @@
         found = Snapshot(values=(change,), revision=self.revision)
         for node in self.nodes:
             if node.follows:
-                node.core.store_cache.take_changes(found, self.timeline.now)
+                node.core.store_cache.apply_changes(found, self.timeline.now)
 
     def read_whole(self, node: LabNode) -> None:
         """Let a node read everything that stands in the store."""
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -415,7 +415,7 @@
         ),
         revision=world.revision + third,
     )
-    context.node.core.store_cache.take_changes(found, world.timeline.now)
+    context.node.core.store_cache.apply_changes(found, world.timeline.now)
 
 
 @then('manifest {version:d} is in force')
