--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -114,7 +114,7 @@
         self.learner.regain_touch(self.clock())
         self.take_newer(found, synced_at)
 
-    def take_from_peer(
+    def apply_peer_changes(
         self,
         found: Snapshot,
         *,
--- a/burdocksill/readers/protocols.py
+++ b/burdocksill/readers/protocols.py
@@ -22,7 +22,7 @@
     def age(self) -> float:
         """Return the seconds since the knowledge was known to be current."""
 
-    def take_from_peer(
+    def apply_peer_changes(
         self,
         found: Snapshot,
         *,
--- a/burdocksill/readers/subscription.py
+++ b/burdocksill/readers/subscription.py
@@ -201,7 +201,7 @@
             self.behind = True
             return True
         found = Snapshot(values=update.changes, revision=update.revision)
-        self.store_cache.take_from_peer(
+        self.store_cache.apply_peer_changes(
             found,
             age=update.age,
             stable=update.stable,
--- a/burdocksill_lab/packets/power.py
+++ b/burdocksill_lab/packets/power.py
@@ -63,7 +63,7 @@
         for _ in self.nodes:
             node = world.add_node(self.domain)
             if self.hears_readers:
-                node.core.store_cache.take_from_peer(
+                node.core.store_cache.apply_peer_changes(
                     Snapshot(values=(), revision=world.revision),
                     age=0,
                     stable=reader.core.store_cache.stable_for,
