--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -88,7 +88,7 @@
         return self.progress.revision
 
     @property
-    def stable_for(self) -> float:
+    def healthy_seconds(self) -> float:
         """Return for how long the store was fine, below 0 in trouble."""
         since = self.learner.upstreams.stable_since
         return self.clock() - since if since else -1
--- a/burdocksill/readers/protocols.py
+++ b/burdocksill/readers/protocols.py
@@ -16,7 +16,7 @@
         """Return the revision up to which all is known; 0: nothing is."""
 
     @property
-    def stable_for(self) -> float:
+    def healthy_seconds(self) -> float:
         """Return for how long the store was fine, below 0 in trouble."""
 
     def age(self) -> float:
--- a/burdocksill/readers/publisher.py
+++ b/burdocksill/readers/publisher.py
@@ -96,7 +96,7 @@
             after=subscriber.revision,
             revision=max(store_cache.revision, subscriber.revision),
             age=store_cache.age(),
-            stable=store_cache.stable_for,
+            stable=store_cache.healthy_seconds,
             followers=len(self.subscribers),
         )
         self.send(encode_update(update, body), address)
--- a/burdocksill_lab/packets/power.py
+++ b/burdocksill_lab/packets/power.py
@@ -66,5 +66,5 @@
                 node.core.store_cache.apply_peer_changes(
                     Snapshot(values=(), revision=world.revision),
                     age=0,
-                    stable=reader.core.store_cache.stable_for,
+                    stable=reader.core.store_cache.healthy_seconds,
                 )
