--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -202,7 +202,7 @@
 
     def is_stable(self, now: float) -> bool:
         """Return True when every entry that lapsed would be back."""
-        since = self.upstreams.stable_since
+        since = self.upstreams.store_healthy_since
         return since > 0 and now - since > ABSENT_SECONDS
 
     def refuse_for_load(self, packet: Packet, route: Route) -> Verdict:
--- a/burdocksill/packets/learner.py
+++ b/burdocksill/packets/learner.py
@@ -63,8 +63,8 @@
 
     def regain_touch(self, now: float) -> None:
         """Count from now on how long the store has worked."""
-        if not self.upstreams.stable_since:
-            self.upstreams.stable_since = now
+        if not self.upstreams.store_healthy_since:
+            self.upstreams.store_healthy_since = now
 
     def hear_stable(self, since: float) -> None:
         """Take another node's word since when the store is fine.
@@ -73,8 +73,8 @@
         time before, so the first word counts alone. Then the later of two
         times counts: who saw no trouble may have had no call under way.
         """
-        known = self.upstreams.stable_since if self.heard_stable else 0
-        self.upstreams.stable_since = max(known, since)
+        known = self.upstreams.store_healthy_since if self.heard_stable else 0
+        self.upstreams.store_healthy_since = max(known, since)
         self.heard_stable = True
 
     def learn(self, news: News, now: float) -> None:
@@ -156,7 +156,7 @@
 
         Routes stay in force; their age tells that they may be old.
         """
-        self.upstreams.stable_since = 0
+        self.upstreams.store_healthy_since = 0
         self.heard_stable = True
 
     def read(self, found: Snapshot) -> list[News]:
--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -90,7 +90,7 @@
     @property
     def healthy_seconds(self) -> float:
         """Return for how long the store was fine, below 0 in trouble."""
-        since = self.learner.upstreams.stable_since
+        since = self.learner.upstreams.store_healthy_since
         return self.clock() - since if since else -1
 
     def age(self) -> float:
--- a/burdocksill/packets/upstreams.py
+++ b/burdocksill/packets/upstreams.py
@@ -78,11 +78,11 @@
         """Return True while its entry stands and no other replaces it."""
         return not self.absent_since and not self.ended
 
-    def presence(self, now: float, stable_since: float) -> Presence:
+    def presence(self, now: float, store_healthy_since: float) -> Presence:
         """Tell whether it is gone; before a stable time nobody can know."""
         if not self.absent_since:
             return Presence.PRESENT
-        counted_from = max(self.absent_since, stable_since)
+        counted_from = max(self.absent_since, store_healthy_since)
         if now - counted_from < ABSENT_SECONDS:
             return Presence.LAPSED
         return Presence.GONE
@@ -128,7 +128,7 @@
         'ended',
         'lapsed',
         'pools',
-        'stable_since',
+        'store_healthy_since',
     )
 
     def __init__(self) -> None:
@@ -147,7 +147,7 @@
         self.pools: dict[str, Pool] = {}
         # Since when the list has been read without trouble; 0 while that
         # can't be.
-        self.stable_since: float = 0
+        self.store_healthy_since: float = 0
 
     def see(self, record: UpstreamRecord, now: float) -> bool:
         """Take in an entry; return True if it differs in more than age."""
@@ -293,13 +293,13 @@
 
     def fell_silent(self, known: KnownUpstream) -> bool:
         """Return True when an entry vanished that the store did not lose."""
-        since = self.stable_since
+        since = self.store_healthy_since
         return 0 < since <= known.absent_since - LEASE_SECONDS
 
     def presence(self, known: KnownUpstream, now: float) -> Presence:
         """Tell whether an upstream is gone, by what is certain."""
         if known.ended:
             return Presence.GONE
-        if not self.stable_since and known.absent_since:
+        if not self.store_healthy_since and known.absent_since:
             return Presence.LAPSED
-        return known.presence(now, self.stable_since)
+        return known.presence(now, self.store_healthy_since)
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -257,7 +257,7 @@
 @then('the node counts absences from {seconds:f} seconds ago')
 def check_stable(context: Context, seconds: float) -> None:
     """Look since when the store counts as fine."""
-    since = context.learner.upstreams.stable_since
+    since = context.learner.upstreams.store_healthy_since
     assert abs(context.world.timeline.now - since - seconds) < 0.01, since
 
 
