--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -12,11 +12,11 @@
 from burdocksill.packets.flows import FlowTable
 from burdocksill.packets.forwarder import Forwarder
 from burdocksill.packets.header import LARGEST_PACKET
-from burdocksill.packets.learner import Decoder, Learner
 from burdocksill.packets.placement import PacketPlacer
 from burdocksill.packets.routing import RoutingTable
 from burdocksill.packets.settings import PacketSettings
 from burdocksill.packets.store_cache import StoreCache, SyncProgress
+from burdocksill.packets.updater import Decoder, Learner
 from burdocksill.packets.upstreams import Upstreams
 from burdocksill.packets.verdicts import Drop, Forward, Reason, Reset
 
--- a/burdocksill/packets/following.py
+++ b/burdocksill/packets/following.py
@@ -12,10 +12,10 @@
 from burdocksill.network.http import HttpConnection
 from burdocksill.network.protocols import Network
 from burdocksill.packets.follower import Follower
-from burdocksill.packets.learner import Learner
 from burdocksill.packets.settings import PacketSettings
 from burdocksill.packets.store_cache import StoreCache
 from burdocksill.packets.store_probe import StoreProbe
+from burdocksill.packets.updater import Learner
 from burdocksill.platform.keys import READERS
 from burdocksill.platform.records import EVERYTHING, read_reader, write_reader
 from burdocksill.platform.store import StorePlatform
--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from burdocksill.network.clock import Clock, boot_seconds
-from burdocksill.packets.learner import Learner
+from burdocksill.packets.updater import Learner
 from burdocksill.platform.calls import item_bytes
 from burdocksill.platform.values import (
     Snapshot,
--- a/burdocksill_lab/soak/broken.py
+++ b/burdocksill_lab/soak/broken.py
@@ -7,8 +7,8 @@
 
 from burdocksill.packets import core, flows, header, upstreams
 from burdocksill.packets import forwarder as forwarding
-from burdocksill.packets.learner import Learner
 from burdocksill.packets.messages import UpstreamState
+from burdocksill.packets.updater import Learner
 from burdocksill.packets.verdicts import Reason
 from burdocksill.platform.early import bind_early
 
--- a/tests/steps/platform_store.py
+++ b/tests/steps/platform_store.py
@@ -15,10 +15,10 @@
 from burdocksill.network.reply import HttpReply
 from burdocksill.network.sockets import SocketNetwork
 from burdocksill.packets.follower import Follower
-from burdocksill.packets.learner import Learner
 from burdocksill.packets.placement import PacketPlacer
 from burdocksill.packets.routing import RoutingTable
 from burdocksill.packets.store_cache import StoreCache, SyncProgress
+from burdocksill.packets.updater import Learner
 from burdocksill.packets.upstreams import Upstreams
 from burdocksill.platform.calls import range_pages
 from burdocksill.platform.records import EVERYTHING, MANIFEST, RecordDecoder
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -10,8 +10,8 @@
 from behave.runner import Context
 
 from burdocksill.network.addresses import Address
-from burdocksill.packets.learner import Learner
 from burdocksill.packets.store_cache import StoreCache
+from burdocksill.packets.updater import Learner
 from burdocksill.platform.protocols import SwapResult
 from burdocksill.platform.records import MANIFEST, UPSTREAMS
 from burdocksill.platform.values import Snapshot, StoredValue
