--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -16,7 +16,7 @@
 from burdocksill.packets.routing import RoutingTable
 from burdocksill.packets.settings import PacketSettings
 from burdocksill.packets.store_cache import StoreCache, SyncProgress
-from burdocksill.packets.updater import Decoder, Learner
+from burdocksill.packets.updater import Decoder, StateUpdater
 from burdocksill.packets.upstreams import Upstreams
 from burdocksill.packets.verdicts import Drop, Forward, Reason, Reset
 
@@ -61,7 +61,7 @@
         self.behind_since: float = 0
 
     @property
-    def learner(self) -> Learner:
+    def learner(self) -> StateUpdater:
         """Return what puts news into force."""
         return self.store_cache.learner
 
@@ -176,7 +176,7 @@
             flows=FlowTable(table=table),
         ),
         store_cache=StoreCache(
-            learner=Learner(
+            learner=StateUpdater(
                 table=table,
                 placer=placer,
                 upstreams=upstreams,
--- a/burdocksill/packets/following.py
+++ b/burdocksill/packets/following.py
@@ -15,7 +15,7 @@
 from burdocksill.packets.settings import PacketSettings
 from burdocksill.packets.store_cache import StoreCache
 from burdocksill.packets.store_probe import StoreProbe
-from burdocksill.packets.updater import Learner
+from burdocksill.packets.updater import StateUpdater
 from burdocksill.platform.keys import READERS
 from burdocksill.platform.records import EVERYTHING, read_reader, write_reader
 from burdocksill.platform.store import StorePlatform
@@ -158,7 +158,7 @@
 ) -> Sharing:
     """Bind the socket for other nodes and compose what uses it."""
     socket = await around.network.open_datagrams(peer)
-    directory: Learner = store_cache.learner
+    directory: StateUpdater = store_cache.learner
     subscription = Subscription(
         name=settings.name,
         domain=settings.domain,
--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from burdocksill.network.clock import Clock, boot_seconds
-from burdocksill.packets.updater import Learner
+from burdocksill.packets.updater import StateUpdater
 from burdocksill.platform.calls import item_bytes
 from burdocksill.platform.values import (
     Snapshot,
@@ -68,7 +68,7 @@
     def __init__(
         self,
         *,
-        learner: Learner,
+        learner: StateUpdater,
         progress: SyncProgress,
         clock: Clock,
     ) -> None:
--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -25,7 +25,7 @@
 Decoder = Callable[[StoredValue], News | None]
 
 
-class Learner:
+class StateUpdater:
     """Put what was read into the routes, the domains and the upstreams."""
 
     __slots__ = (
--- a/burdocksill_lab/soak/broken.py
+++ b/burdocksill_lab/soak/broken.py
@@ -8,7 +8,7 @@
 from burdocksill.packets import core, flows, header, upstreams
 from burdocksill.packets import forwarder as forwarding
 from burdocksill.packets.messages import UpstreamState
-from burdocksill.packets.updater import Learner
+from burdocksill.packets.updater import StateUpdater
 from burdocksill.packets.verdicts import Reason
 from burdocksill.platform.early import bind_early
 
@@ -29,7 +29,7 @@
 
 def forget_domains() -> None:
     """Give new flows to domains that were taken out."""
-    Learner.learn_domain = lambda *_: None  # type: ignore[method-assign]
+    StateUpdater.learn_domain = lambda *_: None  # type: ignore[method-assign]
 
 
 def trust_silence() -> None:
@@ -59,13 +59,13 @@
 
 def forget_manifests() -> None:
     """Keep the first manifest for ever."""
-    original = Learner.learn_manifest
+    original = StateUpdater.learn_manifest
 
     def learn(self: Any, news: Any) -> None:
         if not self.table.version:
             original(self, news)
 
-    Learner.learn_manifest = learn  # type: ignore[method-assign]
+    StateUpdater.learn_manifest = learn  # type: ignore[method-assign]
 
 
 GUARDS: Final[Mapping[str, Callable[[], None]]] = MappingProxyType(
--- a/tests/steps/platform_store.py
+++ b/tests/steps/platform_store.py
@@ -18,7 +18,7 @@
 from burdocksill.packets.placement import PacketPlacer
 from burdocksill.packets.routing import RoutingTable
 from burdocksill.packets.store_cache import StoreCache, SyncProgress
-from burdocksill.packets.updater import Learner
+from burdocksill.packets.updater import StateUpdater
 from burdocksill.packets.upstreams import Upstreams
 from burdocksill.platform.calls import range_pages
 from burdocksill.platform.records import EVERYTHING, MANIFEST, RecordDecoder
@@ -319,7 +319,7 @@
             prefix=EVERYTHING,
             source=platform,
             store_cache=StoreCache(
-                learner=Learner(
+                learner=StateUpdater(
                     table=table,
                     placer=placer,
                     upstreams=upstreams,
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -11,7 +11,7 @@
 
 from burdocksill.network.addresses import Address
 from burdocksill.packets.store_cache import StoreCache
-from burdocksill.packets.updater import Learner
+from burdocksill.packets.updater import StateUpdater
 from burdocksill.platform.protocols import SwapResult
 from burdocksill.platform.records import MANIFEST, UPSTREAMS
 from burdocksill.platform.values import Snapshot, StoredValue
@@ -145,7 +145,7 @@
     world.add_upstream('a')
     node = world.add_node('a')
     context.known: StoreCache = node.core.store_cache
-    context.learner: Learner = node.core.learner
+    context.learner: StateUpdater = node.core.learner
     context.before = set(context.learner.upstreams.by_name)
     context.world = world
     context.subscription = Subscription(
