--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -61,9 +61,9 @@
         self.behind_since: float = 0
 
     @property
-    def learner(self) -> StateUpdater:
+    def updater(self) -> StateUpdater:
         """Return what puts news into force."""
-        return self.store_cache.learner
+        return self.store_cache.updater
 
     @property
     def progress(self) -> SyncProgress:
@@ -98,7 +98,7 @@
 
     def quiet_for(self, now: float) -> float:
         """Return the seconds until there is something to conclude."""
-        if self.learner.upstreams.ended or self.learner.upstreams.lapsed:
+        if self.updater.upstreams.ended or self.updater.upstreams.lapsed:
             return 0
         return max(0, self.forwarder.openings.next_due() - now)
 
@@ -136,9 +136,9 @@
 
     def upkeep(self, now: float) -> None:
         """Forget what has been idle for too long, and suspicions that ended."""
-        self.learner.upstreams.forget_old(now)
-        self.learner.placer.outages.review(now)
-        manifest = self.learner.table.manifest
+        self.updater.upstreams.forget_old(now)
+        self.updater.placer.outages.review(now)
+        manifest = self.updater.table.manifest
         if manifest is not None:
             flows = self.forwarder.flows
             for key in list(flows.idle(now - manifest.idle_seconds)):
@@ -176,7 +176,7 @@
             flows=FlowTable(table=table),
         ),
         store_cache=StoreCache(
-            learner=StateUpdater(
+            updater=StateUpdater(
                 table=table,
                 placer=placer,
                 upstreams=upstreams,
--- a/burdocksill/packets/following.py
+++ b/burdocksill/packets/following.py
@@ -158,7 +158,7 @@
 ) -> Sharing:
     """Bind the socket for other nodes and compose what uses it."""
     socket = await around.network.open_datagrams(peer)
-    directory: StateUpdater = store_cache.learner
+    directory: StateUpdater = store_cache.updater
     subscription = Subscription(
         name=settings.name,
         domain=settings.domain,
--- a/burdocksill/packets/metrics.py
+++ b/burdocksill/packets/metrics.py
@@ -62,18 +62,18 @@
 
     def gauges(self, now: float) -> str:
         """Write what is so at this moment."""
-        learner = self.core.learner
-        known = learner.upstreams.by_name.values()
+        updater = self.core.updater
+        known = updater.upstreams.by_name.values()
         found = {
-            'manifest_version': learner.table.version,
+            'manifest_version': updater.table.version,
             'store_revision': self.core.progress.revision,
             'store_age_seconds': round(self.core.progress.age(), 3),
             'upstreams': len(known),
             'upstreams_aside': sum(one.health.is_aside(now) for one in known),
             'flows_seen': len(self.core.forwarder.flows.flows),
-            'domains_out': len(learner.placer.out),
+            'domains_out': len(updater.placer.out),
             'domains_suspected': sum(
-                1 for _ in learner.placer.outages.suspected(now)
+                1 for _ in updater.placer.outages.suspected(now)
             ),
             'reads_for_domain': int(self.following.reads),
         }
@@ -86,7 +86,7 @@
     def loads(self) -> list[str]:
         """Write what this node sees in progress on each service."""
         lines: list[str] = []
-        for name, pool in self.core.learner.upstreams.pools.items():
+        for name, pool in self.core.updater.upstreams.pools.items():
             found = {
                 'requests_waiting': pool.waiting,
                 'slots': pool.slots,
--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -63,17 +63,17 @@
     before counts.
     """
 
-    __slots__ = ('clock', 'learner', 'listeners', 'progress', 'sizes')
+    __slots__ = ('clock', 'updater', 'listeners', 'progress', 'sizes')
 
     def __init__(
         self,
         *,
-        learner: StateUpdater,
+        updater: StateUpdater,
         progress: SyncProgress,
         clock: Clock,
     ) -> None:
         """Take all fields."""
-        self.learner = learner
+        self.updater = updater
         self.progress = progress
         # Steady seconds by which upstreams' absences are counted.
         self.clock = clock
@@ -90,7 +90,7 @@
     @property
     def healthy_seconds(self) -> float:
         """Return for how long the store was fine, below 0 in trouble."""
-        since = self.learner.upstreams.store_healthy_since
+        since = self.updater.upstreams.store_healthy_since
         return self.clock() - since if since else -1
 
     def age(self) -> float:
@@ -103,7 +103,7 @@
 
     def apply_snapshot(self, found: Snapshot, synced_at: float) -> None:
         """Take in a whole reading, unless a peer has told more meanwhile."""
-        self.learner.regain_touch(self.clock())
+        self.updater.regain_touch(self.clock())
         if found.revision < self.progress.revision:
             return
         self.progress.needs_full_read = False
@@ -111,7 +111,7 @@
 
     def apply_changes(self, found: Snapshot, synced_at: float) -> None:
         """Take in changes that the store has told."""
-        self.learner.regain_touch(self.clock())
+        self.updater.regain_touch(self.clock())
         self.take_newer(found, synced_at)
 
     def apply_peer_changes(
@@ -123,7 +123,7 @@
     ) -> None:
         """Take in changes that another node has told."""
         if stable >= 0:
-            self.learner.hear_stable(self.clock() - stable)
+            self.updater.hear_stable(self.clock() - stable)
         self.take_newer(found, self.progress.now() - age)
 
     def take_newer(self, found: Snapshot, synced_at: float) -> None:
@@ -136,7 +136,7 @@
 
     def take(self, newer: Snapshot, synced_at: float) -> None:
         """Put changes into force and take note of them."""
-        self.learner.learn_values(newer, self.clock())
+        self.updater.learn_values(newer, self.clock())
         self.advance(newer, synced_at)
 
     def advance(self, newer: Snapshot, synced_at: float) -> None:
--- a/burdocksill_lab/packets/deployment.py
+++ b/burdocksill_lab/packets/deployment.py
@@ -89,7 +89,7 @@
             for _ in range(self.nodes):
                 node = self.world.add_node(f'd{number}')
                 if not self.admission:
-                    pools = node.core.learner.upstreams.pools
+                    pools = node.core.updater.upstreams.pools
                     pools['ledger'] = OpenPool()
         for number in range(self.domains):
             for _ in range(self.upstreams):
--- a/burdocksill_lab/packets/fleet.py
+++ b/burdocksill_lab/packets/fleet.py
@@ -59,7 +59,7 @@
     @property
     def version(self) -> int:
         """Return the version of the manifest in force."""
-        return self.core.learner.table.version
+        return self.core.updater.table.version
 
     async def run(self) -> None:
         """Run until the scope is cancelled."""
--- a/burdocksill_lab/packets/outage.py
+++ b/burdocksill_lab/packets/outage.py
@@ -51,7 +51,7 @@
     def conclude(self) -> None:
         """Tell the node what was found."""
         self.under_way = False
-        isolation = self.node.core.learner.placer.isolation
+        isolation = self.node.core.updater.placer.isolation
         if self.answers():
             isolation.store_answered()
         else:
@@ -93,12 +93,12 @@
                 self.world.add_node(domain)
         if not self.sees_outages:
             for node in self.world.nodes:
-                node.core.learner.placer.outages = BlindOutages(
-                    node.core.learner.upstreams,
+                node.core.updater.placer.outages = BlindOutages(
+                    node.core.updater.upstreams,
                 )
         for node in self.world.nodes:
             probe = LabStoreProbe(node=node, answers=self.has_store)
-            isolation = node.core.learner.placer.isolation
+            isolation = node.core.updater.placer.isolation
             isolation.on_suspicion = probe.suspect
         if self.shares:
             self.peers = share_signs(self.world)
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -100,8 +100,8 @@
     exchange = SignExchange(
         itself=Reader(name=node.name, address=address),
         domain=node.domain,
-        directory=core.learner,
-        known=core.learner.placer.outages,
+        directory=core.updater,
+        known=core.updater.placer.outages,
         publisher=Publisher(
             store_cache=core.store_cache,
             log=ChangeLog(),
@@ -112,6 +112,6 @@
         send=send,
     )
     sender = SignPeer(node=node, world=world, exchange=exchange)
-    core.learner.placer.outages.on_news = sender.has_news
+    core.updater.placer.outages.on_news = sender.has_news
     world.network.receivers[(address.host, PEER_PORT)] = sender.receive
     return sender
--- a/tests/steps/packets_admission.py
+++ b/tests/steps/packets_admission.py
@@ -178,7 +178,7 @@
     """Let a node see much in progress, and one upstream silent."""
     context.core = context.deployment.world.nodes[0].core
     now = context.deployment.world.timeline.now
-    known = list(context.core.learner.upstreams.by_name.values())
+    known = list(context.core.updater.upstreams.by_name.values())
     known[0].health.put_aside(now)
     for one in known[1:]:
         for _ in range(one.record.slots):
@@ -192,7 +192,7 @@
     world = context.deployment.world
     route = next(
         one
-        for one in context.core.learner.table.routes.values()
+        for one in context.core.updater.table.routes.values()
         if one.port == FEED_PORT
     )
     placer = context.core.forwarder.placer
--- a/tests/steps/packets_placing.py
+++ b/tests/steps/packets_placing.py
@@ -27,7 +27,7 @@
             open_flows(context, 1, domain)
             world_of(context).timeline.run(0.01)
     context.looks = looks / count
-    placer: PacketPlacer = node_of(context, domain).core.learner.placer
+    placer: PacketPlacer = node_of(context, domain).core.updater.placer
     context.placed = Counter(
         {
             one.record.name: one.flows
--- a/tests/steps/packets_reporters.py
+++ b/tests/steps/packets_reporters.py
@@ -129,7 +129,7 @@
 
 def outages_of(peer: SignPeer) -> Outages:
     """Return what a node concludes from missed openings."""
-    return peer.node.core.learner.placer.outages
+    return peer.node.core.updater.placer.outages
 
 
 def honest(context: Context) -> list[SignPeer]:
--- a/tests/steps/packets_start.py
+++ b/tests/steps/packets_start.py
@@ -564,7 +564,7 @@
 @then('it knows {count:d} upstreams after at most {calls:d} calls')
 def check_list(context: Context, count: int, calls: int) -> None:
     """Count what was learned."""
-    known = context.core.learner.upstreams.by_name
+    known = context.core.updater.upstreams.by_name
     assert len(known) == count, len(known)
     assert len(context.store.calls) <= calls, len(context.store.calls)
 
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -235,7 +235,7 @@
     )
     found = Snapshot(values=(late,), revision=world.revision)
     for node in world.nodes:
-        node.core.learner.learn_values(found, world.timeline.now)
+        node.core.updater.learn_values(found, world.timeline.now)
 
 
 @when('the manifest {text} is written')
@@ -269,7 +269,7 @@
     """Let a node hear no changes."""
     node = node_of(context, domain)
     node.follows = False
-    node.core.learner.lose_touch()
+    node.core.updater.lose_touch()
 
 
 @when('the node of "{domain}" is started anew')
@@ -322,7 +322,7 @@
     """Empty the list, as nodes find it when the store is back."""
     world = world_of(context)
     for node in world.nodes:
-        node.core.learner.lose_touch()
+        node.core.updater.lose_touch()
     for upstream in world.upstreams.values():
         del world.store[UPSTREAMS + upstream.name]
     for node in world.nodes:
@@ -593,7 +593,7 @@
         if flow.echo == upstream.tag & 0xFFFFFFFF:
             flow.packet(FIN, ack=flow.ack)
             world.timeline.run(0.01)
-    assert not flows.on(node.core.learner.upstreams.by_name[upstream.name])
+    assert not flows.on(node.core.updater.upstreams.by_name[upstream.name])
     upstream.condition = Condition.REFUSING
     context.marked = upstream
     upstream.opened.clear()
@@ -659,7 +659,7 @@
 def lose_touch(context: Context, domain: str) -> None:
     """Let a watch fail, and the next one tell of a change."""
     world = world_of(context)
-    node_of(context, domain).core.learner.lose_touch()
+    node_of(context, domain).core.updater.lose_touch()
     world.register(next(iter(world.upstreams.values())))
 
 
@@ -698,5 +698,5 @@
     world = world_of(context)
     world.timeline.run(0.01)
     for node in world.nodes:
-        for name, known in node.core.learner.upstreams.by_name.items():
+        for name, known in node.core.updater.upstreams.by_name.items():
             assert not known.health.is_aside(world.timeline.now), name
--- a/tests/steps/platform_store.py
+++ b/tests/steps/platform_store.py
@@ -319,7 +319,7 @@
             prefix=EVERYTHING,
             source=platform,
             store_cache=StoreCache(
-                learner=StateUpdater(
+                updater=StateUpdater(
                     table=table,
                     placer=placer,
                     upstreams=upstreams,
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -145,8 +145,8 @@
     world.add_upstream('a')
     node = world.add_node('a')
     context.known: StoreCache = node.core.store_cache
-    context.learner: StateUpdater = node.core.learner
-    context.before = set(context.learner.upstreams.by_name)
+    context.updater: StateUpdater = node.core.updater
+    context.before = set(context.updater.upstreams.by_name)
     context.world = world
     context.subscription = Subscription(
         name='entry-1',
@@ -229,7 +229,7 @@
 @then('nothing has changed')
 def check_nothing(context: Context) -> None:
     """Look at the upstreams and the revision."""
-    upstreams = context.learner.upstreams.by_name.values()
+    upstreams = context.updater.upstreams.by_name.values()
     assert not any(one.absent_since for one in upstreams)
     assert context.known.revision == 20
 
@@ -257,7 +257,7 @@
 @then('the node counts absences from {seconds:f} seconds ago')
 def check_stable(context: Context, seconds: float) -> None:
     """Look since when the store counts as fine."""
-    since = context.learner.upstreams.store_healthy_since
+    since = context.updater.upstreams.store_healthy_since
     assert abs(context.world.timeline.now - since - seconds) < 0.01, since
 
 
@@ -383,15 +383,15 @@
 
 def count_decoded(context: Context) -> None:
     """Keep the keys of what the node decodes from now on."""
-    learner = context.node.core.learner
-    decode_entry = learner.decode
+    updater = context.node.core.updater
+    decode_entry = updater.decode
     context.decoded = []
 
     def count(stored: StoredValue) -> object:
         context.decoded.append(stored.key)
         return decode_entry(stored)
 
-    learner.decode = count
+    updater.decode = count
 
 
 @when('it is told of manifests {first:d}, {second:d} and {third:d} at once')
@@ -421,7 +421,7 @@
 @then('manifest {version:d} is in force')
 def check_manifest(context: Context, version: int) -> None:
     """Look at the version."""
-    assert context.node.core.learner.table.version == version
+    assert context.node.core.updater.table.version == version
 
 
 @given('a log of changes that begins at revision {revision:d}')
@@ -527,6 +527,6 @@
 @then('the node knows the upstreams that stand')
 def check_standing(context: Context) -> None:
     """Compare the node's upstreams with those of the store."""
-    known = context.node.core.learner.upstreams.by_name
+    known = context.node.core.updater.upstreams.by_name
     there = {name for name, one in known.items() if not one.absent_since}
     assert there == {context.staying.name, context.coming.name}, there
--- a/tests/steps/readers_fleet.py
+++ b/tests/steps/readers_fleet.py
@@ -424,7 +424,7 @@
             if key.startswith(UPSTREAMS)
         }
         for node in fleet.living():
-            known = node.core.learner.upstreams.by_name.items()
+            known = node.core.updater.upstreams.by_name.items()
             found = {name for name, one in known if not one.absent_since}
             assert found == wanted, found ^ wanted
 
--- a/tests/steps/readers_slow_links.py
+++ b/tests/steps/readers_slow_links.py
@@ -104,7 +104,7 @@
         late = [
             node.settings.name
             for node in fleet.living()
-            if node.core.learner.upstreams.by_name[name].record.state
+            if node.core.updater.upstreams.by_name[name].record.state
             is not UpstreamState.DRAINING
         ]
         assert not late, late
--- a/tools/reader_cost.py
+++ b/tools/reader_cost.py
@@ -64,7 +64,7 @@
         subscription=Subscription(
             name='r',
             domain='a',
-            directory=core.learner,
+            directory=core.updater,
             store_cache=core.store_cache,
             clock=time.monotonic,
             rng=Random(1),
