--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -136,7 +136,7 @@
 
     def take(self, newer: Snapshot, synced_at: float) -> None:
         """Put changes into force and take note of them."""
-        self.updater.learn_values(newer, self.clock())
+        self.updater.apply_values(newer, self.clock())
         self.advance(newer, synced_at)
 
     def advance(self, newer: Snapshot, synced_at: float) -> None:
--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -56,7 +56,7 @@
         # that of this node's start.
         self.heard_stable = False
 
-    def learn_values(self, found: Snapshot, now: float) -> None:
+    def apply_values(self, found: Snapshot, now: float) -> None:
         """Take in changes, in their order."""
         for news in self.read(found):
             self.learn(news, now)
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -235,7 +235,7 @@
     )
     found = Snapshot(values=(late,), revision=world.revision)
     for node in world.nodes:
-        node.core.updater.learn_values(found, world.timeline.now)
+        node.core.updater.apply_values(found, world.timeline.now)
 
 
 @when('the manifest {text} is written')
