--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -81,7 +81,7 @@
         """Take in one change."""
         match news:
             case ManifestNews():
-                self.learn_manifest(news)
+                self.apply_manifest(news)
             case DomainNews():
                 self.learn_domain(news)
             case ReaderNews():
@@ -91,7 +91,7 @@
             case UpstreamLost():
                 self.lose(news, now)
 
-    def learn_manifest(self, news: ManifestNews) -> None:
+    def apply_manifest(self, news: ManifestNews) -> None:
         """Put a newer manifest into force."""
         before = self.table.version
         if self.table.adopt(news.manifest):
--- a/burdocksill_lab/soak/broken.py
+++ b/burdocksill_lab/soak/broken.py
@@ -59,13 +59,13 @@
 
 def forget_manifests() -> None:
     """Keep the first manifest for ever."""
-    original = StateUpdater.learn_manifest
+    original = StateUpdater.apply_manifest
 
     def learn(self: Any, news: Any) -> None:
         if not self.table.version:
             original(self, news)
 
-    StateUpdater.learn_manifest = learn  # type: ignore[method-assign]
+    StateUpdater.apply_manifest = learn  # type: ignore[method-assign]
 
 
 GUARDS: Final[Mapping[str, Callable[[], None]]] = MappingProxyType(
