--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -83,7 +83,7 @@
             case ManifestNews():
                 self.apply_manifest(news)
             case DomainNews():
-                self.learn_domain(news)
+                self.apply_domain(news)
             case ReaderNews():
                 self.learn_reader(news.entry)
             case UpstreamNews():
@@ -109,7 +109,7 @@
                 },
             )
 
-    def learn_domain(self, news: DomainNews) -> None:
+    def apply_domain(self, news: DomainNews) -> None:
         """Take a failure domain out, or back in."""
         if news.out == (news.domain in self.placer.out):
             return
--- a/burdocksill_lab/soak/broken.py
+++ b/burdocksill_lab/soak/broken.py
@@ -29,7 +29,7 @@
 
 def forget_domains() -> None:
     """Give new flows to domains that were taken out."""
-    StateUpdater.learn_domain = lambda *_: None  # type: ignore[method-assign]
+    StateUpdater.apply_domain = lambda *_: None  # type: ignore[method-assign]
 
 
 def trust_silence() -> None:
