--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -85,7 +85,7 @@
             case DomainNews():
                 self.apply_domain(news)
             case ReaderNews():
-                self.learn_reader(news.entry)
+                self.apply_reader(news.entry)
             case UpstreamNews():
                 self.see(news.record, now)
             case UpstreamLost():
@@ -118,7 +118,7 @@
         state = 'domain out' if news.out else 'domain back'
         logger.info(state, extra={'domain': news.domain})
 
-    def learn_reader(self, entry: ReaderEntry) -> None:
+    def apply_reader(self, entry: ReaderEntry) -> None:
         """Take note of who reads for a failure domain."""
         self.readers[entry.domain] = entry
         logger.info(
--- a/burdocksill/readers/claims.py
+++ b/burdocksill/readers/claims.py
@@ -122,7 +122,7 @@
         if entry.revision <= known_revision:
             return False
         self.offer_at = 0
-        self.directory.learn_reader(entry)
+        self.directory.apply_reader(entry)
         return True
 
     def settle(self, result: SwapResult, lease: int, began: float) -> None:
--- a/burdocksill/readers/protocols.py
+++ b/burdocksill/readers/protocols.py
@@ -39,7 +39,7 @@
     def readers(self) -> dict[str, ReaderEntry]:
         """Return the entries by failure domain."""
 
-    def learn_reader(self, entry: ReaderEntry) -> None:
+    def apply_reader(self, entry: ReaderEntry) -> None:
         """Take note of who reads for a failure domain."""
 
 
