--- a/burdocksill/packets/follower.py
+++ b/burdocksill/packets/follower.py
@@ -214,7 +214,7 @@
 
     def failed(self, error: BurdocksillError) -> None:
         """Write down that touch is lost; what is known stays in force."""
-        self.store_cache.updater.lose_touch()
+        self.store_cache.updater.mark_store_unavailable()
         self.line.enter(
             'store lost',
             level=logging.WARNING,
--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -151,7 +151,7 @@
                 extra={'upstream': news.name, 'cause': news.cause},
             )
 
-    def lose_touch(self) -> None:
+    def mark_store_unavailable(self) -> None:
         """Count absences anew once the store can be read again.
 
         Routes stay in force; their age tells that they may be old.
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -269,7 +269,7 @@
     """Let a node hear no changes."""
     node = node_of(context, domain)
     node.follows = False
-    node.core.updater.lose_touch()
+    node.core.updater.mark_store_unavailable()
 
 
 @when('the node of "{domain}" is started anew')
@@ -322,7 +322,7 @@
     """Empty the list, as nodes find it when the store is back."""
     world = world_of(context)
     for node in world.nodes:
-        node.core.updater.lose_touch()
+        node.core.updater.mark_store_unavailable()
     for upstream in world.upstreams.values():
         del world.store[UPSTREAMS + upstream.name]
     for node in world.nodes:
@@ -656,10 +656,10 @@
 
 
 @when('the node of "{domain}" loses touch with the store for a moment')
-def lose_touch(context: Context, domain: str) -> None:
+def mark_store_unavailable(context: Context, domain: str) -> None:
     """Let a watch fail, and the next one tell of a change."""
     world = world_of(context)
-    node_of(context, domain).core.updater.lose_touch()
+    node_of(context, domain).core.updater.mark_store_unavailable()
     world.register(next(iter(world.upstreams.values())))
 
 
