--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -103,7 +103,7 @@
 
     def apply_snapshot(self, found: Snapshot, synced_at: float) -> None:
         """Take in a whole reading, unless a peer has told more meanwhile."""
-        self.updater.regain_touch(self.clock())
+        self.updater.mark_store_available(self.clock())
         if found.revision < self.progress.revision:
             return
         self.progress.needs_full_read = False
@@ -111,7 +111,7 @@
 
     def apply_changes(self, found: Snapshot, synced_at: float) -> None:
         """Take in changes that the store has told."""
-        self.updater.regain_touch(self.clock())
+        self.updater.mark_store_available(self.clock())
         self.take_newer(found, synced_at)
 
     def apply_peer_changes(
--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -61,7 +61,7 @@
         for news in self.read(found):
             self.learn(news, now)
 
-    def regain_touch(self, now: float) -> None:
+    def mark_store_available(self, now: float) -> None:
         """Count from now on how long the store has worked."""
         if not self.upstreams.store_healthy_since:
             self.upstreams.store_healthy_since = now
