--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -123,7 +123,7 @@
     ) -> None:
         """Take in changes that another node has told."""
         if stable >= 0:
-            self.updater.hear_stable(self.clock() - stable)
+            self.updater.adopt_healthy_since(self.clock() - stable)
         self.take_newer(found, self.progress.now() - age)
 
     def take_newer(self, found: Snapshot, synced_at: float) -> None:
--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -66,7 +66,7 @@
         if not self.upstreams.store_healthy_since:
             self.upstreams.store_healthy_since = now
 
-    def hear_stable(self, since: float) -> None:
+    def adopt_healthy_since(self, since: float) -> None:
         """Take another node's word since when the store is fine.
 
         What this node itself has counted from its start says nothing of the
