--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -30,7 +30,7 @@
 
     __slots__ = (
         'decode',
-        'heard_stable',
+        'has_adopted_healthy_since',
         'placer',
         'readers',
         'table',
@@ -54,7 +54,7 @@
         self.readers: dict[str, ReaderEntry] = {}
         # True once the time since which the store counts as fine is more than
         # that of this node's start.
-        self.heard_stable = False
+        self.has_adopted_healthy_since = False
 
     def apply_values(self, found: Snapshot, now: float) -> None:
         """Take in changes, in their order."""
@@ -73,9 +73,13 @@
         time before, so the first word counts alone. Then the later of two
         times counts: who saw no trouble may have had no call under way.
         """
-        known = self.upstreams.store_healthy_since if self.heard_stable else 0
+        known = (
+            self.upstreams.store_healthy_since
+            if self.has_adopted_healthy_since
+            else 0
+        )
         self.upstreams.store_healthy_since = max(known, since)
-        self.heard_stable = True
+        self.has_adopted_healthy_since = True
 
     def learn(self, news: News, now: float) -> None:
         """Take in one change."""
@@ -157,7 +161,7 @@
         Routes stay in force; their age tells that they may be old.
         """
         self.upstreams.store_healthy_since = 0
-        self.heard_stable = True
+        self.has_adopted_healthy_since = True
 
     def read(self, found: Snapshot) -> list[News]:
         """Decode values; one that can't be read changes nothing."""
