--- a/burdocksill/packets/messages.py
+++ b/burdocksill/packets/messages.py
@@ -218,4 +218,6 @@
         self.entry = entry
 
 
-News = ManifestNews | DomainNews | UpstreamNews | UpstreamLost | ReaderNews
+StoreUpdate = (
+    ManifestNews | DomainNews | UpstreamNews | UpstreamLost | ReaderNews
+)
--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -8,8 +8,8 @@
 from burdocksill.packets.messages import (
     DomainNews,
     ManifestNews,
-    News,
     ReaderNews,
+    StoreUpdate,
     UpstreamLost,
     UpstreamNews,
     UpstreamRecord,
@@ -22,7 +22,7 @@
 from burdocksill.readers.messages import ReaderEntry
 
 logger = EarlyLogger(__name__)
-Decoder = Callable[[StoredValue], News | None]
+Decoder = Callable[[StoredValue], StoreUpdate | None]
 
 
 class StateUpdater:
@@ -81,7 +81,7 @@
         self.upstreams.store_healthy_since = max(known, since)
         self.has_adopted_healthy_since = True
 
-    def learn(self, news: News, now: float) -> None:
+    def learn(self, news: StoreUpdate, now: float) -> None:
         """Take in one change."""
         match news:
             case ManifestNews():
@@ -163,9 +163,9 @@
         self.upstreams.store_healthy_since = 0
         self.has_adopted_healthy_since = True
 
-    def read(self, found: Snapshot) -> list[News]:
+    def read(self, found: Snapshot) -> list[StoreUpdate]:
         """Decode values; one that can't be read changes nothing."""
-        news: list[News] = []
+        news: list[StoreUpdate] = []
         for stored in found.values:
             try:
                 one = self.decode(stored)
--- a/burdocksill/platform/records.py
+++ b/burdocksill/platform/records.py
@@ -11,11 +11,11 @@
     DomainNews,
     Manifest,
     ManifestNews,
-    News,
     ReaderNews,
     Route,
     ServiceLimits,
     Share,
+    StoreUpdate,
     UpstreamLost,
     UpstreamNews,
     UpstreamRecord,
@@ -57,7 +57,7 @@
         # The routes of the latest manifest, by how their rows are written.
         self.routes: dict[str, Route] = {}
 
-    def decode(self, stored: StoredValue) -> News | None:
+    def decode(self, stored: StoredValue) -> StoreUpdate | None:
         """Return the news of an item, None for a key that says nothing here."""
         if stored.key == MANIFEST:
             # The manifest is replaced, never removed; without one the last
@@ -133,7 +133,7 @@
     ).encode()
 
 
-def read_listed(name: str, value: bytes) -> News:
+def read_listed(name: str, value: bytes) -> StoreUpdate:
     """Read an upstream's entry; one that can't be read names none."""
     try:
         return UpstreamNews(read_upstream(name, value))
