--- a/burdocksill/packets/messages.py
+++ b/burdocksill/packets/messages.py
@@ -149,7 +149,7 @@
         self.born = born
 
 
-class ManifestNews(Value):
+class ManifestUpdate(Value):
     """Tell of a version of the manifest."""
 
     __slots__ = ('manifest',)
@@ -219,5 +219,5 @@
 
 
 StoreUpdate = (
-    ManifestNews | DomainNews | UpstreamNews | UpstreamLost | ReaderNews
+    ManifestUpdate | DomainNews | UpstreamNews | UpstreamLost | ReaderNews
 )
--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -7,7 +7,7 @@
 from burdocksill.observe.early import EarlyLogger
 from burdocksill.packets.messages import (
     DomainNews,
-    ManifestNews,
+    ManifestUpdate,
     ReaderNews,
     StoreUpdate,
     UpstreamLost,
@@ -84,7 +84,7 @@
     def learn(self, news: StoreUpdate, now: float) -> None:
         """Take in one change."""
         match news:
-            case ManifestNews():
+            case ManifestUpdate():
                 self.apply_manifest(news)
             case DomainNews():
                 self.apply_domain(news)
@@ -95,7 +95,7 @@
             case UpstreamLost():
                 self.lose(news, now)
 
-    def apply_manifest(self, news: ManifestNews) -> None:
+    def apply_manifest(self, news: ManifestUpdate) -> None:
         """Put a newer manifest into force."""
         before = self.table.version
         if self.table.adopt(news.manifest):
--- a/burdocksill/platform/records.py
+++ b/burdocksill/platform/records.py
@@ -10,7 +10,7 @@
 from burdocksill.packets.messages import (
     DomainNews,
     Manifest,
-    ManifestNews,
+    ManifestUpdate,
     ReaderNews,
     Route,
     ServiceLimits,
@@ -64,7 +64,7 @@
             # holds.
             if stored.removed:
                 return None
-            return ManifestNews(self.read_manifest(stored.value))
+            return ManifestUpdate(self.read_manifest(stored.value))
         if stored.key.startswith(DOMAINS_OUT):
             domain = stored.key.removeprefix(DOMAINS_OUT)
             return DomainNews(domain, not stored.removed)
