--- a/burdocksill/packets/messages.py
+++ b/burdocksill/packets/messages.py
@@ -162,7 +162,7 @@
         self.manifest = manifest
 
 
-class DomainNews(Value):
+class DomainUpdate(Value):
     """Tell that operators took a failure domain out, or back in."""
 
     __slots__ = ('domain', 'out')
@@ -219,5 +219,5 @@
 
 
 StoreUpdate = (
-    ManifestUpdate | DomainNews | UpstreamNews | UpstreamLost | ReaderNews
+    ManifestUpdate | DomainUpdate | UpstreamNews | UpstreamLost | ReaderNews
 )
--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -6,7 +6,7 @@
 
 from burdocksill.observe.early import EarlyLogger
 from burdocksill.packets.messages import (
-    DomainNews,
+    DomainUpdate,
     ManifestUpdate,
     ReaderNews,
     StoreUpdate,
@@ -86,7 +86,7 @@
         match news:
             case ManifestUpdate():
                 self.apply_manifest(news)
-            case DomainNews():
+            case DomainUpdate():
                 self.apply_domain(news)
             case ReaderNews():
                 self.apply_reader(news.entry)
@@ -113,7 +113,7 @@
                 },
             )
 
-    def apply_domain(self, news: DomainNews) -> None:
+    def apply_domain(self, news: DomainUpdate) -> None:
         """Take a failure domain out, or back in."""
         if news.out == (news.domain in self.placer.out):
             return
--- a/burdocksill/platform/records.py
+++ b/burdocksill/platform/records.py
@@ -8,7 +8,7 @@
 from burdocksill.network.addresses import Address
 from burdocksill.packets.header import undotted
 from burdocksill.packets.messages import (
-    DomainNews,
+    DomainUpdate,
     Manifest,
     ManifestUpdate,
     ReaderNews,
@@ -67,7 +67,7 @@
             return ManifestUpdate(self.read_manifest(stored.value))
         if stored.key.startswith(DOMAINS_OUT):
             domain = stored.key.removeprefix(DOMAINS_OUT)
-            return DomainNews(domain, not stored.removed)
+            return DomainUpdate(domain, not stored.removed)
         if stored.key.startswith(UPSTREAMS):
             name = stored.key.removeprefix(UPSTREAMS)
             if stored.removed:
