--- a/burdocksill/packets/messages.py
+++ b/burdocksill/packets/messages.py
@@ -177,7 +177,7 @@
         self.out = out
 
 
-class UpstreamNews(Value):
+class UpstreamUpdate(Value):
     """Tell what an upstream registered."""
 
     __slots__ = ('record',)
@@ -219,5 +219,5 @@
 
 
 StoreUpdate = (
-    ManifestUpdate | DomainUpdate | UpstreamNews | UpstreamLost | ReaderNews
+    ManifestUpdate | DomainUpdate | UpstreamUpdate | UpstreamLost | ReaderNews
 )
--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -11,8 +11,8 @@
     ReaderNews,
     StoreUpdate,
     UpstreamLost,
-    UpstreamNews,
     UpstreamRecord,
+    UpstreamUpdate,
 )
 from burdocksill.packets.placement import PacketPlacer
 from burdocksill.packets.routing import RoutingTable
@@ -90,7 +90,7 @@
                 self.apply_domain(news)
             case ReaderNews():
                 self.apply_reader(news.entry)
-            case UpstreamNews():
+            case UpstreamUpdate():
                 self.see(news.record, now)
             case UpstreamLost():
                 self.lose(news, now)
--- a/burdocksill/platform/records.py
+++ b/burdocksill/platform/records.py
@@ -17,9 +17,9 @@
     Share,
     StoreUpdate,
     UpstreamLost,
-    UpstreamNews,
     UpstreamRecord,
     UpstreamState,
+    UpstreamUpdate,
 )
 from burdocksill.platform.exceptions import RecordInvalidError
 from burdocksill.platform.keys import READERS
@@ -136,7 +136,7 @@
 def read_listed(name: str, value: bytes) -> StoreUpdate:
     """Read an upstream's entry; one that can't be read names none."""
     try:
-        return UpstreamNews(read_upstream(name, value))
+        return UpstreamUpdate(read_upstream(name, value))
     except RecordInvalidError as error:
         return UpstreamLost(name, cause=str(error))
 
