--- a/burdocksill/packets/messages.py
+++ b/burdocksill/packets/messages.py
@@ -205,7 +205,7 @@
         self.cause = cause
 
 
-class ReaderNews(Value):
+class ReaderUpdate(Value):
     """Tell which node reads the store for a failure domain."""
 
     __slots__ = ('entry',)
@@ -219,5 +219,5 @@
 
 
 StoreUpdate = (
-    ManifestUpdate | DomainUpdate | UpstreamUpdate | UpstreamLost | ReaderNews
+    ManifestUpdate | DomainUpdate | UpstreamUpdate | UpstreamLost | ReaderUpdate
 )
--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -8,7 +8,7 @@
 from burdocksill.packets.messages import (
     DomainUpdate,
     ManifestUpdate,
-    ReaderNews,
+    ReaderUpdate,
     StoreUpdate,
     UpstreamLost,
     UpstreamRecord,
@@ -88,7 +88,7 @@
                 self.apply_manifest(news)
             case DomainUpdate():
                 self.apply_domain(news)
-            case ReaderNews():
+            case ReaderUpdate():
                 self.apply_reader(news.entry)
             case UpstreamUpdate():
                 self.see(news.record, now)
--- a/burdocksill/platform/records.py
+++ b/burdocksill/platform/records.py
@@ -11,7 +11,7 @@
     DomainUpdate,
     Manifest,
     ManifestUpdate,
-    ReaderNews,
+    ReaderUpdate,
     Route,
     ServiceLimits,
     Share,
@@ -75,7 +75,7 @@
             return read_listed(name, stored.value)
         if stored.key.startswith(READERS):
             domain = stored.key.removeprefix(READERS)
-            return ReaderNews(read_reader(domain, stored))
+            return ReaderUpdate(read_reader(domain, stored))
         return None
 
     def read_manifest(self, value: bytes) -> Manifest:
