--- a/burdocksill/packets/messages.py
+++ b/burdocksill/packets/messages.py
@@ -190,7 +190,7 @@
         self.record = record
 
 
-class UpstreamLost(Value):
+class UpstreamRemoval(Value):
     """Tell that an upstream's entry is not there any more, or unreadable."""
 
     __slots__ = ('cause', 'name')
@@ -219,5 +219,9 @@
 
 
 StoreUpdate = (
-    ManifestUpdate | DomainUpdate | UpstreamUpdate | UpstreamLost | ReaderUpdate
+    ManifestUpdate
+    | DomainUpdate
+    | UpstreamUpdate
+    | UpstreamRemoval
+    | ReaderUpdate
 )
--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -10,8 +10,8 @@
     ManifestUpdate,
     ReaderUpdate,
     StoreUpdate,
-    UpstreamLost,
     UpstreamRecord,
+    UpstreamRemoval,
     UpstreamUpdate,
 )
 from burdocksill.packets.placement import PacketPlacer
@@ -92,7 +92,7 @@
                 self.apply_reader(news.entry)
             case UpstreamUpdate():
                 self.see(news.record, now)
-            case UpstreamLost():
+            case UpstreamRemoval():
                 self.lose(news, now)
 
     def apply_manifest(self, news: ManifestUpdate) -> None:
@@ -147,7 +147,7 @@
                 },
             )
 
-    def lose(self, news: UpstreamLost, now: float) -> None:
+    def lose(self, news: UpstreamRemoval, now: float) -> None:
         """Take note of an entry that vanished."""
         if self.upstreams.lose(news.name, now):
             logger.info(
--- a/burdocksill/platform/records.py
+++ b/burdocksill/platform/records.py
@@ -16,8 +16,8 @@
     ServiceLimits,
     Share,
     StoreUpdate,
-    UpstreamLost,
     UpstreamRecord,
+    UpstreamRemoval,
     UpstreamState,
     UpstreamUpdate,
 )
@@ -71,7 +71,7 @@
         if stored.key.startswith(UPSTREAMS):
             name = stored.key.removeprefix(UPSTREAMS)
             if stored.removed:
-                return UpstreamLost(name)
+                return UpstreamRemoval(name)
             return read_listed(name, stored.value)
         if stored.key.startswith(READERS):
             domain = stored.key.removeprefix(READERS)
@@ -138,7 +138,7 @@
     try:
         return UpstreamUpdate(read_upstream(name, value))
     except RecordInvalidError as error:
-        return UpstreamLost(name, cause=str(error))
+        return UpstreamRemoval(name, cause=str(error))
 
 
 def read_object(value: bytes) -> dict[str, Any]:
