--- a/burdocksill/packets/messages.py
+++ b/burdocksill/packets/messages.py
@@ -8,7 +8,7 @@
 from burdocksill.values import Value
 
 
-class Share(Value):
+class WeightedService(Value):
     """Give a service its weight among those that a route may choose."""
 
     __slots__ = ('service', 'weight')
@@ -42,7 +42,7 @@
         name: str,
         address: int,
         port: int,
-        shares: tuple[Share, ...],
+        shares: tuple[WeightedService, ...],
         objective_seconds: float = 0,
         priority: int = 0,
     ) -> None:
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from burdocksill.packets.isolation import Isolation
-from burdocksill.packets.messages import Route, Share
+from burdocksill.packets.messages import Route, WeightedService
 from burdocksill.packets.outages import Outages
 from burdocksill.packets.routing import RoutingTable
 from burdocksill.packets.upstreams import KnownUpstream, Presence, Upstreams
@@ -145,10 +145,12 @@
             if share.service in pools
         }
 
-    def shuffled(self, shares: tuple[Share, ...]) -> list[Share]:
+    def shuffled(
+        self, shares: tuple[WeightedService, ...]
+    ) -> list[WeightedService]:
         """Return the services in a random order that follows the weights."""
         rest = [share for share in shares if share.weight > 0]
-        ordered: list[Share] = []
+        ordered: list[WeightedService] = []
         while rest:
             weights = [share.weight for share in rest]
             chosen = self.rng.choices(rest, weights)[0]
--- a/burdocksill/platform/records.py
+++ b/burdocksill/platform/records.py
@@ -14,12 +14,12 @@
     ReaderUpdate,
     Route,
     ServiceLimits,
-    Share,
     StoreUpdate,
     UpstreamRecord,
     UpstreamRemoval,
     UpstreamState,
     UpstreamUpdate,
+    WeightedService,
 )
 from burdocksill.platform.exceptions import RecordInvalidError
 from burdocksill.platform.keys import READERS
@@ -215,13 +215,13 @@
         ) from error
 
 
-def read_shares(found: dict[str, Any]) -> tuple[Share, ...]:
+def read_shares(found: dict[str, Any]) -> tuple[WeightedService, ...]:
     """Read the services of a route, by weight if there are several."""
     split = take_rows(found, 'TrafficSplit')
     if not split:
-        return (Share(service=take(found, 'Service', str, None)),)
+        return (WeightedService(service=take(found, 'Service', str, None)),)
     return tuple(
-        Share(
+        WeightedService(
             service=take(one, 'Service', str, None),
             weight=take(one, 'Weight', float, 1),
         )
