--- a/burdocksill/packets/messages.py
+++ b/burdocksill/packets/messages.py
@@ -33,7 +33,7 @@
         'objective_seconds',
         'port',
         'priority',
-        'shares',
+        'weighted_services',
     )
 
     def __init__(
@@ -42,7 +42,7 @@
         name: str,
         address: int,
         port: int,
-        shares: tuple[WeightedService, ...],
+        weighted_services: tuple[WeightedService, ...],
         objective_seconds: float = 0,
         priority: int = 0,
     ) -> None:
@@ -50,7 +50,7 @@
         self.name = name
         self.address = address
         self.port = port
-        self.shares = shares
+        self.weighted_services = weighted_services
         # Within which the caller wants its answer; 0 where none is set.
         self.objective_seconds = objective_seconds
         # 0 is the most urgent.
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -128,7 +128,7 @@
         """Return an upstream for a new flow, or why there is none."""
         urgency = self.table.least_urgent - route.priority
         reason = Reason.NO_UPSTREAM
-        for share in self.shuffled(route.shares):
+        for share in self.shuffled(route.weighted_services):
             chosen = self.place_at(share.service, urgency, now, avoid)
             if isinstance(chosen, KnownUpstream):
                 return chosen
@@ -141,15 +141,15 @@
         pools = self.upstreams.pools
         return {
             share.service: pools[share.service]
-            for share in route.shares
+            for share in route.weighted_services
             if share.service in pools
         }
 
     def shuffled(
-        self, shares: tuple[WeightedService, ...]
+        self, weighted_services: tuple[WeightedService, ...]
     ) -> list[WeightedService]:
         """Return the services in a random order that follows the weights."""
-        rest = [share for share in shares if share.weight > 0]
+        rest = [share for share in weighted_services if share.weight > 0]
         ordered: list[WeightedService] = []
         while rest:
             weights = [share.weight for share in rest]
--- a/burdocksill/platform/records.py
+++ b/burdocksill/platform/records.py
@@ -203,7 +203,7 @@
             name=name,
             address=undotted(host),
             port=int(port),
-            shares=read_shares(found),
+            weighted_services=read_shares(found),
             # `SloMs` is the latency objective of the requests inside.
             objective_seconds=take(found, 'SloMs', float, 0) / MILLISECONDS,
             priority=take(found, 'Priority', int, 0),
