--- a/burdocksill/packets/messages.py
+++ b/burdocksill/packets/messages.py
@@ -107,7 +107,7 @@
     """Hold what an upstream registered of itself."""
 
     __slots__ = (
-        'born',
+        'started_at',
         'cold_seconds',
         'domain',
         'host',
@@ -131,7 +131,7 @@
         slots: int,
         state: UpstreamState,
         cold_seconds: float = 0,
-        born: int = 0,
+        started_at: int = 0,
     ) -> None:
         """Take all fields."""
         self.name = name
@@ -146,7 +146,7 @@
         self.state = state
         # How long it stays slow, from the moment of the report.
         self.cold_seconds = cold_seconds
-        self.born = born
+        self.started_at = started_at
 
 
 class ManifestUpdate(Value):
--- a/burdocksill/packets/upstreams.py
+++ b/burdocksill/packets/upstreams.py
@@ -152,7 +152,7 @@
     def see(self, record: UpstreamRecord, now: float) -> bool:
         """Take in an entry; return True if it differs in more than age."""
         known = self.by_name.get(record.name)
-        if known is None or known.record.born != record.born:
+        if known is None or known.record.started_at != record.started_at:
             self.add(record, now)
             return True
         changed = known.record != record or bool(known.absent_since)
@@ -198,7 +198,7 @@
         Two that were read at once, or whose starts can't be compared, show
         nothing: clocks of machines differ.
         """
-        is_later = 0 < before.record.born < known.record.born
+        is_later = 0 < before.record.started_at < known.record.started_at
         if is_later and before.since < known.since and not before.ended:
             before.ended = True
             self.unplace(before)
--- a/burdocksill/platform/records.py
+++ b/burdocksill/platform/records.py
@@ -255,7 +255,7 @@
             state=UpstreamState(state),
             # How much longer it stays slow, counted from this report.
             cold_seconds=take(found, 'WarmupMs', float, 0) / MILLISECONDS,
-            born=take(found, 'born', int, 0),
+            started_at=take(found, 'born', int, 0),
         )
     except (ValueError, OverflowError) as error:
         raise RecordInvalidError(
--- a/tests/steps/packets_reporters.py
+++ b/tests/steps/packets_reporters.py
@@ -169,7 +169,7 @@
                 domain=DOMAIN,
                 slots=2,
                 state=UpstreamState.READY,
-                born=1,
+                started_at=1,
                 cold_seconds=0,
             ),
             0,
