--- a/burdocksill/packets/following.py
+++ b/burdocksill/packets/following.py
@@ -11,11 +11,11 @@
 from burdocksill.network.clock import Clock
 from burdocksill.network.http import HttpConnection
 from burdocksill.network.protocols import Network
-from burdocksill.packets.follower import Follower
 from burdocksill.packets.settings import PacketSettings
 from burdocksill.packets.store_cache import StoreCache
 from burdocksill.packets.store_probe import StoreProbe
 from burdocksill.packets.updater import StateUpdater
+from burdocksill.packets.watcher import Follower
 from burdocksill.platform.keys import READERS
 from burdocksill.platform.records import EVERYTHING, read_reader, write_reader
 from burdocksill.platform.store import StorePlatform
--- a/tests/steps/platform_store.py
+++ b/tests/steps/platform_store.py
@@ -14,12 +14,12 @@
 from burdocksill.network.http import HttpConnection
 from burdocksill.network.reply import HttpReply
 from burdocksill.network.sockets import SocketNetwork
-from burdocksill.packets.follower import Follower
 from burdocksill.packets.placement import PacketPlacer
 from burdocksill.packets.routing import RoutingTable
 from burdocksill.packets.store_cache import StoreCache, SyncProgress
 from burdocksill.packets.updater import StateUpdater
 from burdocksill.packets.upstreams import Upstreams
+from burdocksill.packets.watcher import Follower
 from burdocksill.platform.calls import range_pages
 from burdocksill.platform.records import EVERYTHING, MANIFEST, RecordDecoder
 from burdocksill.platform.store import StorePlatform
