--- a/burdocksill/packets/following.py
+++ b/burdocksill/packets/following.py
@@ -15,7 +15,7 @@
 from burdocksill.packets.store_cache import StoreCache
 from burdocksill.packets.store_probe import StoreProbe
 from burdocksill.packets.updater import StateUpdater
-from burdocksill.packets.watcher import Follower
+from burdocksill.packets.watcher import StoreWatcher
 from burdocksill.platform.keys import READERS
 from burdocksill.platform.records import EVERYTHING, read_reader, write_reader
 from burdocksill.platform.store import StorePlatform
@@ -42,7 +42,7 @@
 class Following:
     """Hold the tasks that keep a node's knowledge current."""
 
-    follower: Follower
+    follower: StoreWatcher
     platform: StorePlatform
     sharing: Sharing | None = None
 
@@ -136,7 +136,7 @@
 ) -> Following:
     """Compose the tasks; with an address for peers the readings are shared."""
     platform = make_platform(settings, around)
-    follower = Follower(
+    follower = StoreWatcher(
         prefix=EVERYTHING,
         source=platform,
         store_cache=store_cache,
--- a/burdocksill/packets/watcher.py
+++ b/burdocksill/packets/watcher.py
@@ -87,7 +87,7 @@
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
-class Follower:
+class StoreWatcher:
     """Keep what is below one prefix of the store as current as it can be.
 
     One prefix holds everything, so that one waiting call is enough.
--- a/tests/steps/platform_store.py
+++ b/tests/steps/platform_store.py
@@ -19,7 +19,7 @@
 from burdocksill.packets.store_cache import StoreCache, SyncProgress
 from burdocksill.packets.updater import StateUpdater
 from burdocksill.packets.upstreams import Upstreams
-from burdocksill.packets.watcher import Follower
+from burdocksill.packets.watcher import StoreWatcher
 from burdocksill.platform.calls import range_pages
 from burdocksill.platform.records import EVERYTHING, MANIFEST, RecordDecoder
 from burdocksill.platform.store import StorePlatform
@@ -315,7 +315,7 @@
             upstreams=upstreams,
             rng=Random(1),
         )
-        follower = Follower(
+        follower = StoreWatcher(
             prefix=EVERYTHING,
             source=platform,
             store_cache=StoreCache(
