--- a/burdocksill/packets/watcher.py
+++ b/burdocksill/packets/watcher.py
@@ -76,7 +76,7 @@
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
-class AlwaysTurn:
+class OpenReadGate:
     """Call the store all the time, as a node does that knows no other."""
 
     async def wait(self) -> None:
@@ -97,7 +97,7 @@
     source: Source
     store_cache: StoreCache
     rng: Random
-    turn: Turn = attrs.field(factory=AlwaysTurn)
+    turn: Turn = attrs.field(factory=OpenReadGate)
     pause: float = FIRST_PAUSE_SECONDS
     # What the latest call took above its wait.
     call_seconds: float = LONGEST_MARGIN_SECONDS
