--- a/burdocksill/packets/following.py
+++ b/burdocksill/packets/following.py
@@ -21,7 +21,7 @@
 from burdocksill.platform.store import StorePlatform
 from burdocksill.readers.changes import ChangeLog
 from burdocksill.readers.claims import Claim
-from burdocksill.readers.exchange import Candidate, PeerExchange, SharedTurn
+from burdocksill.readers.exchange import Candidate, PeerExchange, SharedReadGate
 from burdocksill.readers.messages import Reader
 from burdocksill.readers.publisher import Publisher
 from burdocksill.readers.signs import SignExchange
@@ -190,7 +190,7 @@
         socket=socket,
         subscription=subscription,
         publisher=publisher,
-        turn=SharedTurn(subscription=subscription),
+        turn=SharedReadGate(subscription=subscription),
         signs=SignExchange(
             itself=itself,
             domain=settings.domain,
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -32,7 +32,7 @@
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
-class SharedTurn:
+class SharedReadGate:
     """Call the store when no reader keeps this node's knowledge new."""
 
     subscription: Subscription
@@ -69,7 +69,7 @@
     socket: DatagramSocket
     subscription: Subscription
     publisher: Publisher
-    turn: SharedTurn
+    turn: SharedReadGate
     signs: SignExchange
     # Set while there is something to tell of upstreams.
     news: trio.Event = attrs.field(factory=trio.Event)
@@ -161,7 +161,7 @@
     read_entry: Callable[[StoredValue], ReaderEntry]
     store: LeaseStore
     subscription: Subscription
-    turn: SharedTurn
+    turn: SharedReadGate
     # The store's client makes one call at a time; a stop may come in between.
     lock: trio.Lock = attrs.field(factory=trio.Lock)
     stopped: bool = False
