--- a/burdocksill/packets/watcher.py
+++ b/burdocksill/packets/watcher.py
@@ -65,7 +65,7 @@
         """
 
 
-class Turn(Protocol):
+class ReadGate(Protocol):
     """Tell when this node should call the store."""
 
     async def wait(self) -> None:
@@ -97,7 +97,7 @@
     source: Source
     store_cache: StoreCache
     rng: Random
-    turn: Turn = attrs.field(factory=OpenReadGate)
+    turn: ReadGate = attrs.field(factory=OpenReadGate)
     pause: float = FIRST_PAUSE_SECONDS
     # What the latest call took above its wait.
     call_seconds: float = LONGEST_MARGIN_SECONDS
