--- a/burdocksill/packets/following.py
+++ b/burdocksill/packets/following.py
@@ -146,7 +146,7 @@
     if settings.peer is not None:
         sharing = await share(settings, settings.peer, store_cache, around)
         following.sharing = sharing
-        follower.turn = sharing.exchange.turn
+        follower.read_gate = sharing.exchange.read_gate
     return following
 
 
@@ -190,7 +190,7 @@
         socket=socket,
         subscription=subscription,
         publisher=publisher,
-        turn=SharedReadGate(subscription=subscription),
+        read_gate=SharedReadGate(subscription=subscription),
         signs=SignExchange(
             itself=itself,
             domain=settings.domain,
@@ -202,7 +202,7 @@
         ),
     )
     directory.placer.outages.on_news = exchange.has_news
-    exchange.turn.on_answer = exchange.offer
+    exchange.read_gate.on_answer = exchange.offer
     probe = StoreProbe(
         isolation=directory.placer.isolation,
         platform=make_platform(settings, around),
@@ -219,7 +219,7 @@
             read_entry=partial(read_reader, settings.domain),
             store=platform,
             subscription=subscription,
-            turn=exchange.turn,
+            read_gate=exchange.read_gate,
         ),
         platform=platform,
         probe=probe,
--- a/burdocksill/packets/watcher.py
+++ b/burdocksill/packets/watcher.py
@@ -97,7 +97,7 @@
     source: Source
     store_cache: StoreCache
     rng: Random
-    turn: ReadGate = attrs.field(factory=OpenReadGate)
+    read_gate: ReadGate = attrs.field(factory=OpenReadGate)
     pause: float = FIRST_PAUSE_SECONDS
     # What the latest call took above its wait.
     call_seconds: float = LONGEST_MARGIN_SECONDS
@@ -110,7 +110,7 @@
     async def run(self) -> None:
         """Read, follow, and start over after each failure."""
         while True:
-            await self.turn.wait()
+            await self.read_gate.wait()
             try:
                 await self.step()
             except PlatformCompactedError as error:
@@ -128,7 +128,7 @@
                 )
                 self.store_cache.progress.needs_full_read = True
             except BurdocksillError as error:
-                self.turn.called(answered=False)
+                self.read_gate.called(answered=False)
                 self.failed(error)
                 await trio.sleep(self.pause * self.rng.uniform(0.5, 1))
                 self.pause = min(self.pause * 2, LONGEST_PAUSE_SECONDS)
@@ -144,7 +144,7 @@
             found = await self.changes()
         self.pause = FIRST_PAUSE_SECONDS
         self.line.enter('store followed', revision=str(found.revision))
-        self.turn.called(answered=True)
+        self.read_gate.called(answered=True)
         if found.values:
             await trio.sleep(GATHER_SECONDS)
 
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -69,7 +69,7 @@
     socket: DatagramSocket
     subscription: Subscription
     publisher: Publisher
-    turn: SharedReadGate
+    read_gate: SharedReadGate
     signs: SignExchange
     # Set while there is something to tell of upstreams.
     news: trio.Event = attrs.field(factory=trio.Event)
@@ -96,7 +96,7 @@
             case Update():
                 self.subscription.take(message, sender)
                 if self.subscription.must_read:
-                    self.turn.wake()
+                    self.read_gate.wake()
             case Offer():
                 self.take_offer(message, sender)
             case Signs():
@@ -161,7 +161,7 @@
     read_entry: Callable[[StoredValue], ReaderEntry]
     store: LeaseStore
     subscription: Subscription
-    turn: SharedReadGate
+    read_gate: SharedReadGate
     # The store's client makes one call at a time; a stop may come in between.
     lock: trio.Lock = attrs.field(factory=trio.Lock)
     stopped: bool = False
@@ -190,7 +190,7 @@
             self.subscription.reads = self.claim.holds
             if began != self.claim.holds:
                 # Others ask the new reader at once, and it must be current.
-                self.turn.wake()
+                self.read_gate.wake()
 
     def pause(self) -> float:
         """Return the seconds until a lease is renewed or an offer is due."""
