--- a/burdocksill/packets/metrics.py
+++ b/burdocksill/packets/metrics.py
@@ -4,7 +4,7 @@
 
 from burdocksill.observe.counters import Counters
 from burdocksill.packets.core import PacketCore
-from burdocksill.packets.following import Following
+from burdocksill.packets.sync import Following
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
--- a/burdocksill/packets/node.py
+++ b/burdocksill/packets/node.py
@@ -14,8 +14,8 @@
 from burdocksill.network.reply import HttpReply
 from burdocksill.packets.core import PacketCore
 from burdocksill.packets.faststart import import_while_serving
-from burdocksill.packets.following import Following
 from burdocksill.packets.settings import PacketSettings
+from burdocksill.packets.sync import Following
 
 UPKEEP_SECONDS: Final = 1.0
 # Routers turn away after two probes without success.
--- a/burdocksill/packets/program.py
+++ b/burdocksill/packets/program.py
@@ -11,10 +11,10 @@
 from burdocksill.observe.early import early_lines
 from burdocksill.observe.stdout import log_to_stdout
 from burdocksill.packets.core import PacketCore
-from burdocksill.packets.following import Surroundings, follow
 from burdocksill.packets.node import PacketNode
 from burdocksill.packets.reload import Reloader
 from burdocksill.packets.settings import PacketSettings
+from burdocksill.packets.sync import Surroundings, follow
 
 
 def run(
--- a/burdocksill_lab/packets/fleet.py
+++ b/burdocksill_lab/packets/fleet.py
@@ -14,8 +14,8 @@
 
 from burdocksill.network.addresses import Address
 from burdocksill.packets.core import PacketCore, make_core
-from burdocksill.packets.following import Following, Surroundings, follow
 from burdocksill.packets.settings import PacketSettings
+from burdocksill.packets.sync import Following, Surroundings, follow
 from burdocksill.platform.records import RecordDecoder
 from burdocksill_lab.fakes.network import FakeHost, FakeNetwork
 from burdocksill_lab.packets.network import (
