--- a/burdocksill/packets/metrics.py
+++ b/burdocksill/packets/metrics.py
@@ -4,7 +4,7 @@
 
 from burdocksill.observe.counters import Counters
 from burdocksill.packets.core import PacketCore
-from burdocksill.packets.sync import Following
+from burdocksill.packets.sync import StoreSync
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
@@ -16,7 +16,7 @@
     """
 
     core: PacketCore
-    following: Following
+    following: StoreSync
     counters: Counters = attrs.field(factory=Counters)
     shown: dict[tuple[str, str], int] = attrs.field(factory=dict)
 
--- a/burdocksill/packets/node.py
+++ b/burdocksill/packets/node.py
@@ -15,7 +15,7 @@
 from burdocksill.packets.core import PacketCore
 from burdocksill.packets.faststart import import_while_serving
 from burdocksill.packets.settings import PacketSettings
-from burdocksill.packets.sync import Following
+from burdocksill.packets.sync import StoreSync
 
 UPKEEP_SECONDS: Final = 1.0
 # Routers turn away after two probes without success.
@@ -37,7 +37,7 @@
 
     settings: PacketSettings
     core: PacketCore
-    following: Following
+    following: StoreSync
     clock: Clock
     # Listens for probes and readers of metrics.
     probes: socket.socket
--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -39,7 +39,7 @@
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
-class Following:
+class StoreSync:
     """Hold the tasks that keep a node's knowledge current."""
 
     follower: StoreWatcher
@@ -133,7 +133,7 @@
     settings: PacketSettings,
     store_cache: StoreCache,
     around: Surroundings,
-) -> Following:
+) -> StoreSync:
     """Compose the tasks; with an address for peers the readings are shared."""
     platform = make_platform(settings, around)
     follower = StoreWatcher(
@@ -142,7 +142,7 @@
         store_cache=store_cache,
         rng=around.rng,
     )
-    following = Following(follower=follower, platform=platform)
+    following = StoreSync(follower=follower, platform=platform)
     if settings.peer is not None:
         sharing = await share(settings, settings.peer, store_cache, around)
         following.sharing = sharing
--- a/burdocksill_lab/packets/fleet.py
+++ b/burdocksill_lab/packets/fleet.py
@@ -15,7 +15,7 @@
 from burdocksill.network.addresses import Address
 from burdocksill.packets.core import PacketCore, make_core
 from burdocksill.packets.settings import PacketSettings
-from burdocksill.packets.sync import Following, Surroundings, follow
+from burdocksill.packets.sync import StoreSync, Surroundings, follow
 from burdocksill.platform.records import RecordDecoder
 from burdocksill_lab.fakes.network import FakeHost, FakeNetwork
 from burdocksill_lab.packets.network import (
@@ -43,7 +43,7 @@
 
     settings: PacketSettings
     core: PacketCore
-    following: Following
+    following: StoreSync
     scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
 
     @property
