--- a/burdocksill/packets/metrics.py
+++ b/burdocksill/packets/metrics.py
@@ -16,7 +16,7 @@
     """
 
     core: PacketCore
-    following: StoreSync
+    store_sync: StoreSync
     counters: Counters = attrs.field(factory=Counters)
     shown: dict[tuple[str, str], int] = attrs.field(factory=dict)
 
@@ -25,7 +25,7 @@
         for reason, count in self.core.counts.items():
             more = self.since_shown('packets', reason, count)
             self.counters.add('packets', more, reason=reason)
-        for status, count in self.following.calls.items():
+        for status, count in self.store_sync.calls.items():
             more = self.since_shown('store_calls', str(status), count)
             self.counters.add('store_calls', more, status=str(status))
         self.count_answers()
@@ -41,16 +41,16 @@
 
     def count_answers(self) -> None:
         """Count what the store has sent, and what was given up of it."""
-        count = self.following.received_bytes
+        count = self.store_sync.received_bytes
         more = self.since_shown('store_received_bytes', '', count)
         self.counters.add('store_received_bytes', more)
-        count = self.following.cut_short
+        count = self.store_sync.cut_short
         more = self.since_shown('store_answers_cut_short', '', count)
         self.counters.add('store_answers_cut_short', more)
 
     def count_signs(self) -> None:
         """Count what nodes tell each other of upstreams."""
-        for direction, count in self.following.signs.items():
+        for direction, count in self.store_sync.signs.items():
             more = self.since_shown('signs', direction, count)
             self.counters.add('signs', more, direction=direction)
 
@@ -75,7 +75,7 @@
             'domains_suspected': sum(
                 1 for _ in updater.placer.outages.suspected(now)
             ),
-            'reads_for_domain': int(self.following.reads),
+            'reads_for_domain': int(self.store_sync.reads),
         }
         lines = [
             f'# TYPE burdocksill_{name} gauge\nburdocksill_{name} {value}'
--- a/burdocksill/packets/node.py
+++ b/burdocksill/packets/node.py
@@ -37,7 +37,7 @@
 
     settings: PacketSettings
     core: PacketCore
-    following: StoreSync
+    store_sync: StoreSync
     clock: Clock
     # Listens for probes and readers of metrics.
     probes: socket.socket
@@ -56,7 +56,7 @@
                 nursery.start_soon(task)
             nursery.start_soon(self.forward_packets)
             nursery.start_soon(self.serve_pages)
-            nursery.start_soon(self.following.run)
+            nursery.start_soon(self.store_sync.run)
             nursery.start_soon(self.upkeep)
             await self.wait_for_stop()
             nursery.cancel_scope.cancel()
@@ -73,7 +73,7 @@
             self.stopping = True
             began = self.clock()
             logger.info('stopping', extra={'for_s': self.settings.stop_seconds})
-            await self.following.leave()
+            await self.store_sync.leave()
             await self.wait_for_quiet(began)
 
     async def wait_for_quiet(self, began: float) -> None:
@@ -127,7 +127,7 @@
             loaded = import_while_serving(METRICS, self.core)
             self.metrics_page = loaded.MetricsPage(
                 core=self.core,
-                following=self.following,
+                store_sync=self.store_sync,
             )
         text: str = self.metrics_page.render(self.clock())
         return text
--- a/burdocksill/packets/program.py
+++ b/burdocksill/packets/program.py
@@ -46,7 +46,7 @@
     node = PacketNode(
         settings=settings,
         core=core,
-        following=await follow(settings, core.store_cache, around),
+        store_sync=await follow(settings, core.store_cache, around),
         clock=time.monotonic,
         probes=probes,
     )
--- a/burdocksill/packets/reload.py
+++ b/burdocksill/packets/reload.py
@@ -72,4 +72,4 @@
         logging.getLogger().setLevel(found.log_level)
         early_lines.set_level(found.log_level)
         if found.platform != before.platform:
-            await self.node.following.call_at(found.platform)
+            await self.node.store_sync.call_at(found.platform)
--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -142,12 +142,12 @@
         store_cache=store_cache,
         rng=around.rng,
     )
-    following = StoreSync(follower=follower, platform=platform)
+    store_sync = StoreSync(follower=follower, platform=platform)
     if settings.peer is not None:
         sharing = await share(settings, settings.peer, store_cache, around)
-        following.sharing = sharing
+        store_sync.sharing = sharing
         follower.read_gate = sharing.exchange.read_gate
-    return following
+    return store_sync
 
 
 async def share(
--- a/burdocksill_lab/packets/fleet.py
+++ b/burdocksill_lab/packets/fleet.py
@@ -43,7 +43,7 @@
 
     settings: PacketSettings
     core: PacketCore
-    following: StoreSync
+    store_sync: StoreSync
     scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
 
     @property
@@ -54,7 +54,7 @@
     @property
     def reads(self) -> bool:
         """Return True while it reads the store for its domain."""
-        return self.following.reads
+        return self.store_sync.reads
 
     @property
     def version(self) -> int:
@@ -64,7 +64,7 @@
     async def run(self) -> None:
         """Run until the scope is cancelled."""
         with self.scope:
-            await self.following.run()
+            await self.store_sync.run()
 
 
 @attrs.define(kw_only=True)
@@ -139,8 +139,8 @@
             clock=trio.current_time,
             rng=Random(self.rng.random()),
         )
-        following = await follow(settings, core.store_cache, around)
-        node = FleetNode(settings=settings, core=core, following=following)
+        store_sync = await follow(settings, core.store_cache, around)
+        node = FleetNode(settings=settings, core=core, store_sync=store_sync)
         self.nodes = [one for one in self.nodes if not one_is(one, name)]
         self.nodes.append(node)
         self.nursery.start_soon(node.run)
--- a/tests/steps/packets_admission.py
+++ b/tests/steps/packets_admission.py
@@ -237,7 +237,7 @@
     pages = [
         MetricsPage(
             core=node.core,
-            following=SimpleNamespace(
+            store_sync=SimpleNamespace(
                 calls=Counter(),
                 reads=False,
                 received_bytes=0,
--- a/tests/steps/packets_isolation.py
+++ b/tests/steps/packets_isolation.py
@@ -105,7 +105,7 @@
             fleet.store.muted = fleet.store.connections
         else:
             fleet.store.trouble = Trouble(trouble)
-        sharing = fleet.nodes[0].following.sharing
+        sharing = fleet.nodes[0].store_sync.sharing
         assert sharing is not None
         context.silent = await sharing.probe.is_silent()
 
--- a/tests/steps/readers_fleet.py
+++ b/tests/steps/readers_fleet.py
@@ -266,7 +266,7 @@
     async def step(fleet: SharedFleet) -> None:
         node = fleet.reader_of(domain)
         context.story.chosen = node
-        await node.following.leave()
+        await node.store_sync.leave()
         await fleet.run(1)
         fleet.kill(node, silent=False)
 
@@ -295,7 +295,7 @@
         while not any('keep' in call for call in calls[before:]):
             before = len(calls)
             await trio.sleep(0.01)
-        await node.following.leave()
+        await node.store_sync.leave()
         fleet.kill(node, silent=False)
 
     act(context, step)
