--- a/burdocksill/packets/program.py
+++ b/burdocksill/packets/program.py
@@ -14,7 +14,7 @@
 from burdocksill.packets.node import PacketNode
 from burdocksill.packets.reload import Reloader
 from burdocksill.packets.settings import PacketSettings
-from burdocksill.packets.sync import Surroundings, follow
+from burdocksill.packets.sync import Surroundings, make_store_sync
 
 
 def run(
@@ -46,7 +46,7 @@
     node = PacketNode(
         settings=settings,
         core=core,
-        store_sync=await follow(settings, core.store_cache, around),
+        store_sync=await make_store_sync(settings, core.store_cache, around),
         clock=time.monotonic,
         probes=probes,
     )
--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -129,7 +129,7 @@
     return StorePlatform(connection=connection)
 
 
-async def follow(
+async def make_store_sync(
     settings: PacketSettings,
     store_cache: StoreCache,
     around: Surroundings,
--- a/burdocksill_lab/packets/fleet.py
+++ b/burdocksill_lab/packets/fleet.py
@@ -15,7 +15,7 @@
 from burdocksill.network.addresses import Address
 from burdocksill.packets.core import PacketCore, make_core
 from burdocksill.packets.settings import PacketSettings
-from burdocksill.packets.sync import StoreSync, Surroundings, follow
+from burdocksill.packets.sync import StoreSync, Surroundings, make_store_sync
 from burdocksill.platform.records import RecordDecoder
 from burdocksill_lab.fakes.network import FakeHost, FakeNetwork
 from burdocksill_lab.packets.network import (
@@ -139,7 +139,7 @@
             clock=trio.current_time,
             rng=Random(self.rng.random()),
         )
-        store_sync = await follow(settings, core.store_cache, around)
+        store_sync = await make_store_sync(settings, core.store_cache, around)
         node = FleetNode(settings=settings, core=core, store_sync=store_sync)
         self.nodes = [one for one in self.nodes if not one_is(one, name)]
         self.nodes.append(node)
