--- a/burdocksill/packets/program.py
+++ b/burdocksill/packets/program.py
@@ -14,7 +14,7 @@
 from burdocksill.packets.node import PacketNode
 from burdocksill.packets.reload import Reloader
 from burdocksill.packets.settings import PacketSettings
-from burdocksill.packets.sync import Surroundings, make_store_sync
+from burdocksill.packets.sync import Runtime, make_store_sync
 
 
 def run(
@@ -38,7 +38,7 @@
     probes: socket.socket,
 ) -> None:
     """Compose the tasks of a node and run them."""
-    around = Surroundings(
+    around = Runtime(
         network=SocketNetwork(),
         clock=time.monotonic,
         rng=rng,
--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -109,7 +109,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Surroundings:
+class Runtime:
     """Hold what a node runs in: real, or played by a test."""
 
     network: Network
@@ -119,7 +119,7 @@
 
 def make_platform(
     settings: PacketSettings,
-    around: Surroundings,
+    around: Runtime,
 ) -> StorePlatform:
     """Prepare a client of the store with a connection of its own."""
     connection = HttpConnection(
@@ -132,7 +132,7 @@
 async def make_store_sync(
     settings: PacketSettings,
     store_cache: StoreCache,
-    around: Surroundings,
+    around: Runtime,
 ) -> StoreSync:
     """Compose the tasks; with an address for peers the readings are shared."""
     platform = make_platform(settings, around)
@@ -154,7 +154,7 @@
     settings: PacketSettings,
     peer: Address,
     store_cache: StoreCache,
-    around: Surroundings,
+    around: Runtime,
 ) -> Sharing:
     """Bind the socket for other nodes and compose what uses it."""
     socket = await around.network.open_datagrams(peer)
--- a/burdocksill_lab/packets/fleet.py
+++ b/burdocksill_lab/packets/fleet.py
@@ -15,7 +15,7 @@
 from burdocksill.network.addresses import Address
 from burdocksill.packets.core import PacketCore, make_core
 from burdocksill.packets.settings import PacketSettings
-from burdocksill.packets.sync import StoreSync, Surroundings, make_store_sync
+from burdocksill.packets.sync import Runtime, StoreSync, make_store_sync
 from burdocksill.platform.records import RecordDecoder
 from burdocksill_lab.fakes.network import FakeHost, FakeNetwork
 from burdocksill_lab.packets.network import (
@@ -134,7 +134,7 @@
             clock=trio.current_time,
             age_clock=trio.current_time,
         )
-        around = Surroundings(
+        around = Runtime(
             network=FakeHost(network=self.network, host=host),
             clock=trio.current_time,
             rng=Random(self.rng.random()),
