--- a/burdocksill/packets/program.py
+++ b/burdocksill/packets/program.py
@@ -38,7 +38,7 @@
     probes: socket.socket,
 ) -> None:
     """Compose the tasks of a node and run them."""
-    around = Runtime(
+    runtime = Runtime(
         network=SocketNetwork(),
         clock=time.monotonic,
         rng=rng,
@@ -46,7 +46,7 @@
     node = PacketNode(
         settings=settings,
         core=core,
-        store_sync=await make_store_sync(settings, core.store_cache, around),
+        store_sync=await make_store_sync(settings, core.store_cache, runtime),
         clock=time.monotonic,
         probes=probes,
     )
--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -119,11 +119,11 @@
 
 def make_platform(
     settings: PacketSettings,
-    around: Runtime,
+    runtime: Runtime,
 ) -> StorePlatform:
     """Prepare a client of the store with a connection of its own."""
     connection = HttpConnection(
-        network=around.network,
+        network=runtime.network,
         remote=settings.platform,
     )
     return StorePlatform(connection=connection)
@@ -132,19 +132,19 @@
 async def make_store_sync(
     settings: PacketSettings,
     store_cache: StoreCache,
-    around: Runtime,
+    runtime: Runtime,
 ) -> StoreSync:
     """Compose the tasks; with an address for peers the readings are shared."""
-    platform = make_platform(settings, around)
+    platform = make_platform(settings, runtime)
     follower = StoreWatcher(
         prefix=EVERYTHING,
         source=platform,
         store_cache=store_cache,
-        rng=around.rng,
+        rng=runtime.rng,
     )
     store_sync = StoreSync(follower=follower, platform=platform)
     if settings.peer is not None:
-        sharing = await share(settings, settings.peer, store_cache, around)
+        sharing = await share(settings, settings.peer, store_cache, runtime)
         store_sync.sharing = sharing
         follower.read_gate = sharing.exchange.read_gate
     return store_sync
@@ -154,37 +154,37 @@
     settings: PacketSettings,
     peer: Address,
     store_cache: StoreCache,
-    around: Runtime,
+    runtime: Runtime,
 ) -> Sharing:
     """Bind the socket for other nodes and compose what uses it."""
-    socket = await around.network.open_datagrams(peer)
+    socket = await runtime.network.open_datagrams(peer)
     directory: StateUpdater = store_cache.updater
     subscription = Subscription(
         name=settings.name,
         domain=settings.domain,
         directory=directory,
         store_cache=store_cache,
-        clock=around.clock,
-        rng=around.rng,
+        clock=runtime.clock,
+        rng=runtime.rng,
     )
     revision = store_cache.revision
     publisher = Publisher(
         store_cache=store_cache,
         log=ChangeLog(start=revision, end=revision),
-        clock=around.clock,
+        clock=runtime.clock,
         send=socket.send,
     )
     store_cache.listeners.append(publisher.publish)
     # A waiting call holds its connection, so leases have one of their own.
-    platform = make_platform(settings, around)
+    platform = make_platform(settings, runtime)
     itself = Reader(name=settings.name, address=peer)
     claim = Claim(
         itself=itself,
         domain=settings.domain,
         cores=settings.cores,
         directory=directory,
-        clock=around.clock,
-        rng=around.rng,
+        clock=runtime.clock,
+        rng=runtime.rng,
     )
     exchange = PeerExchange(
         socket=socket,
@@ -197,7 +197,7 @@
             directory=directory,
             known=directory.placer.outages,
             publisher=publisher,
-            clock=around.clock,
+            clock=runtime.clock,
             send=socket.send,
         ),
     )
@@ -205,9 +205,9 @@
     exchange.read_gate.on_answer = exchange.offer
     probe = StoreProbe(
         isolation=directory.placer.isolation,
-        platform=make_platform(settings, around),
+        platform=make_platform(settings, runtime),
         key=READERS + settings.domain,
-        clock=around.clock,
+        clock=runtime.clock,
     )
     directory.placer.isolation.on_suspicion = probe.suspect
     return Sharing(
--- a/burdocksill_lab/packets/fleet.py
+++ b/burdocksill_lab/packets/fleet.py
@@ -134,12 +134,12 @@
             clock=trio.current_time,
             age_clock=trio.current_time,
         )
-        around = Runtime(
+        runtime = Runtime(
             network=FakeHost(network=self.network, host=host),
             clock=trio.current_time,
             rng=Random(self.rng.random()),
         )
-        store_sync = await make_store_sync(settings, core.store_cache, around)
+        store_sync = await make_store_sync(settings, core.store_cache, runtime)
         node = FleetNode(settings=settings, core=core, store_sync=store_sync)
         self.nodes = [one for one in self.nodes if not one_is(one, name)]
         self.nodes.append(node)
