--- a/burdocksill/packets/faststart.py
+++ b/burdocksill/packets/faststart.py
@@ -44,7 +44,7 @@
 Pages = Generator[str, HttpReply, Snapshot]
 
 
-class FirstReading:
+class InitialRead:
     """Read the store once over a plain socket that is never waited for.
 
     What fails here is left to the program proper, which tries again.
@@ -147,7 +147,7 @@
         self.core.drain(time.monotonic())
 
 
-def read_first(reading: FirstReading) -> None:
+def read_first(reading: InitialRead) -> None:
     """Read the store, for as long as it goes on answering."""
     latest = time.monotonic() + LONGEST_SECONDS
     while not reading.ended:
--- a/burdocksill/packets/main.py
+++ b/burdocksill/packets/main.py
@@ -12,7 +12,7 @@
 from burdocksill.observe.writer import LineWriter
 from burdocksill.packets.core import PacketCore, make_core
 from burdocksill.packets.faststart import (
-    FirstReading,
+    InitialRead,
     import_while_serving,
     read_first,
 )
@@ -52,7 +52,7 @@
 
 def read_store(settings: PacketSettings, core: PacketCore) -> None:
     """Read the store once, before the rest of the program is there."""
-    reading = FirstReading(
+    reading = InitialRead(
         remote=settings.platform,
         pages=range_pages(EVERYTHING),
         core=core,
--- a/tests/steps/packets_start.py
+++ b/tests/steps/packets_start.py
@@ -18,7 +18,7 @@
 from burdocksill.network.http import HttpConnection
 from burdocksill.network.sockets import SocketNetwork
 from burdocksill.packets.faststart import (
-    FirstReading,
+    InitialRead,
     import_while_serving,
     read_first,
 )
@@ -535,7 +535,7 @@
     core.progress.revision = 0
 
     def read(port: int) -> None:
-        reading = FirstReading(
+        reading = InitialRead(
             remote=Address('127.0.0.1', port),
             pages=range_pages(EVERYTHING),
             core=core,
