--- a/burdocksill/packets/faststart.py
+++ b/burdocksill/packets/faststart.py
@@ -147,7 +147,7 @@
         self.core.drain(time.monotonic())
 
 
-def read_first(reading: InitialRead) -> None:
+def run_initial_read(reading: InitialRead) -> None:
     """Read the store, for as long as it goes on answering."""
     latest = time.monotonic() + LONGEST_SECONDS
     while not reading.ended:
--- a/burdocksill/packets/main.py
+++ b/burdocksill/packets/main.py
@@ -14,7 +14,7 @@
 from burdocksill.packets.faststart import (
     InitialRead,
     import_while_serving,
-    read_first,
+    run_initial_read,
 )
 from burdocksill.packets.settings import PacketSettings
 from burdocksill.platform.calls import range_pages
@@ -58,7 +58,7 @@
         core=core,
         asked_at=core.progress.now(),
     )
-    read_first(reading)
+    run_initial_read(reading)
 
 
 def main(early: EarlySockets) -> None:
--- a/tests/steps/packets_start.py
+++ b/tests/steps/packets_start.py
@@ -20,7 +20,7 @@
 from burdocksill.packets.faststart import (
     InitialRead,
     import_while_serving,
-    read_first,
+    run_initial_read,
 )
 from burdocksill.platform.calls import range_pages
 from burdocksill.platform.early import VARIABLE
@@ -541,7 +541,7 @@
             core=core,
             asked_at=core.progress.now(),
         )
-        read_first(reading)
+        run_initial_read(reading)
 
     async def main() -> None:
         listeners = await trio.open_tcp_listeners(0, host='127.0.0.1')
