--- a/burdocksill/packets/faststart.py
+++ b/burdocksill/packets/faststart.py
@@ -18,7 +18,7 @@
 
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.network.addresses import Address
-from burdocksill.network.first_exchange import FirstExchange
+from burdocksill.network.minimal_http import FirstExchange
 from burdocksill.network.reply import HttpReply
 from burdocksill.observe.early import EarlyLogger
 from burdocksill.packets.core import PacketCore
--- a/tests/steps/network_first_exchange.py
+++ b/tests/steps/network_first_exchange.py
@@ -7,7 +7,7 @@
 
 from burdocksill.network import first_exchange
 from burdocksill.network.addresses import Address
-from burdocksill.network.first_exchange import (
+from burdocksill.network.minimal_http import (
     FirstExchange,
     FirstExchangeError,
 )
