--- a/tests/steps/network_first_exchange.py
+++ b/tests/steps/network_first_exchange.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 from behave.runner import Context
 
-from burdocksill.network import first_exchange
+from burdocksill.network import minimal_http
 from burdocksill.network.addresses import Address
 from burdocksill.network.minimal_http import (
     FirstExchange,
@@ -41,9 +41,9 @@
     """Feed an answer piece by piece."""
     whole = answer(BODY)
     with mock.patch.object(
-        first_exchange,
+        minimal_http,
         'read_head',
-        wraps=first_exchange.read_head,
+        wraps=minimal_http.read_head,
     ) as reading:
         context.replies = [
             context.exchange.receive(whole[begin : begin + size])
