--- a/burdocksill/network/minimal_http.py
+++ b/burdocksill/network/minimal_http.py
@@ -26,7 +26,7 @@
     """Say that an answer is of another kind than is read here."""
 
 
-class FirstExchange:
+class MinimalHttpExchange:
     """Write requests without a body and read their answers, in turn."""
 
     __slots__ = ('body_at', 'buffer', 'end_at', 'remote', 'status')
--- a/burdocksill/packets/faststart.py
+++ b/burdocksill/packets/faststart.py
@@ -18,7 +18,7 @@
 
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.network.addresses import Address
-from burdocksill.network.minimal_http import FirstExchange
+from burdocksill.network.minimal_http import MinimalHttpExchange
 from burdocksill.network.reply import HttpReply
 from burdocksill.observe.early import EarlyLogger
 from burdocksill.packets.core import PacketCore
@@ -78,7 +78,7 @@
         # When the store was last heard, by the monotonic clock.
         self.heard_at = time.monotonic()
         self.ended = False
-        self.exchange = FirstExchange(remote=remote)
+        self.exchange = MinimalHttpExchange(remote=remote)
         # What is still to be sent.
         self.out = self.exchange.request(next(pages))
         self.plain = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/tests/steps/network_first_exchange.py
+++ b/tests/steps/network_first_exchange.py
@@ -8,8 +8,8 @@
 from burdocksill.network import minimal_http
 from burdocksill.network.addresses import Address
 from burdocksill.network.minimal_http import (
-    FirstExchange,
     FirstExchangeError,
+    MinimalHttpExchange,
 )
 
 BODY = bytes(range(60)) * 5
@@ -33,7 +33,7 @@
 @given('a first exchange')
 def make_exchange(context: Context) -> None:
     """Begin with nothing read."""
-    context.exchange = FirstExchange(remote=Address('10.0.0.1', 80))
+    context.exchange = MinimalHttpExchange(remote=Address('10.0.0.1', 80))
 
 
 @when('an answer of 300 bytes arrives in pieces of {size:d} bytes')
