--- a/burdocksill/network/minimal_http.py
+++ b/burdocksill/network/minimal_http.py
@@ -22,7 +22,7 @@
 VERSION: Final = 'HTTP/1.1'
 
 
-class FirstExchangeError(ConnectionError):
+class MinimalHttpError(ConnectionError):
     """Say that an answer is of another kind than is read here."""
 
 
@@ -51,7 +51,7 @@
     def receive(self, received: bytes) -> HttpReply | None:
         """Take in bytes; return the answer once it is whole."""
         if not received:
-            raise FirstExchangeError(f'{self.remote} closed')
+            raise MinimalHttpError(f'{self.remote} closed')
         self.buffer += received
         if not (self.body_at or self.find_head()):
             return None
@@ -67,7 +67,7 @@
         end = self.buffer.find(END_OF_HEAD)
         if end < 0:
             if len(self.buffer) > LARGEST_HEAD:
-                raise FirstExchangeError('the head of the answer has no end')
+                raise MinimalHttpError('the head of the answer has no end')
             return False
         status, length = read_head(bytes(self.buffer[:end]))
         self.status = status
@@ -87,5 +87,5 @@
         fields[name.strip().lower()] = text.strip()
     length = fields.get('content-length', '')
     if version != VERSION or not status.isdecimal() or not length.isdecimal():
-        raise FirstExchangeError(f'cannot read an answer that begins {first!r}')
+        raise MinimalHttpError(f'cannot read an answer that begins {first!r}')
     return int(status), int(length)
--- a/tests/steps/network_first_exchange.py
+++ b/tests/steps/network_first_exchange.py
@@ -8,7 +8,7 @@
 from burdocksill.network import minimal_http
 from burdocksill.network.addresses import Address
 from burdocksill.network.minimal_http import (
-    FirstExchangeError,
+    MinimalHttpError,
     MinimalHttpExchange,
 )
 
@@ -86,7 +86,7 @@
     context.error = None
     try:
         context.exchange.receive(SPOILED[what])
-    except FirstExchangeError as error:
+    except MinimalHttpError as error:
         context.error = error
 
 
