--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -102,7 +102,7 @@
         packet = read_packet(payload)
         if packet is None:
             return Drop(Reason.MALFORMED)
-        if packet.opens:
+        if packet.is_syn:
             return self.open(packet, payload, now)
         return self.carry_on(packet, payload, now)
 
--- a/burdocksill/packets/header.py
+++ b/burdocksill/packets/header.py
@@ -68,7 +68,7 @@
         self.flags = flags
 
     @property
-    def opens(self) -> bool:
+    def is_syn(self) -> bool:
         """Return True for the first packet of a flow and its copies."""
         return self.flags & SYN != 0
 
@@ -88,7 +88,7 @@
         return None
     # A client never answers its own opening: SYN with ACK comes from an
     # upstream, or from somebody who forges one.
-    if packet.opens and packet.flags & (ACK | RST | FIN):
+    if packet.is_syn and packet.flags & (ACK | RST | FIN):
         return None
     return packet
 
--- a/burdocksill_lab/packets/upstream.py
+++ b/burdocksill_lab/packets/upstream.py
@@ -94,14 +94,14 @@
         self.altered += not is_intact(payload[TAG.size :])
         if self.condition is Condition.REFUSING:
             self.refuse(packet)
-        elif packet.opens:
+        elif packet.is_syn:
             self.open(packet)
         else:
             self.carry_on(packet)
 
     def refuse(self, packet: Packet) -> None:
         """Answer as a host does whose process is gone."""
-        if packet.opens:
+        if packet.is_syn:
             self.opened.append(self.timeline.now)
         self.answer(packet, HeldFlow(echo=packet.echo), RST)
 
--- a/tests/steps/packets_header.py
+++ b/tests/steps/packets_header.py
@@ -31,7 +31,7 @@
 def check_example(context: Context) -> None:
     """Compare every field."""
     packet = context.packet
-    assert packet.opens
+    assert packet.is_syn
     assert packet.seq == 0x11223344
     assert packet.flow == (0x64400007, 40001, 0xC6120001, 443)
     assert packet.checksum == 0xA1B2C3D5
--- a/tests/steps/packets_outages.py
+++ b/tests/steps/packets_outages.py
@@ -152,7 +152,7 @@
             whole=whole,  # noqa: ANN001
         ) -> None:
             packet = read_packet(payload[8:])
-            if packet is None or not packet.opens or rng.random() > 1 / 20:
+            if packet is None or not packet.is_syn or rng.random() > 1 / 20:
                 whole(payload, source)
 
         deployment.world.network.receivers[one.address] = receive
