--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -78,7 +78,7 @@
                 payload = self.datagrams.recv(LARGEST_PACKET + 1)
             except BlockingIOError:
                 self.behind_since = 0
-                self.overlook(now)
+                self.expire_openings(now)
                 return
             except ConnectionError:
                 # An upstream's host refused an earlier datagram; that says
@@ -88,11 +88,11 @@
             self.handle(payload, now)
         self.behind_since = self.behind_since or now
 
-    def overlook(self, now: float) -> None:
+    def expire_openings(self, now: float) -> None:
         """Conclude from openings that nothing has followed, and count them."""
         self.forwarder.end_lost(now)
         self.send_due()
-        missed = self.forwarder.overlook(now)
+        missed = self.forwarder.expire_openings(now)
         if missed:
             self.counts[Reason.OPENING_MISSED.value] += missed
 
--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -165,7 +165,7 @@
         for upstream, reason in self.losses.take_news(now):
             self.reset_all(upstream, reason)
 
-    def overlook(self, now: float) -> int:
+    def expire_openings(self, now: float) -> int:
         """Draw conclusions from openings that nothing has followed; count them.
 
         To be called when no packet waits: the one that follows may be there.
--- a/burdocksill_lab/packets/world.py
+++ b/burdocksill_lab/packets/world.py
@@ -83,12 +83,12 @@
         """Look for missed openings when the next one is due."""
         wait = self.core.quiet_for(self.timeline.now)
         if not math.isinf(wait):
-            self.timeline.after(wait, self.overlook)
+            self.timeline.after(wait, self.expire_openings)
 
-    def overlook(self) -> None:
+    def expire_openings(self) -> None:
         """Conclude from missed openings, as a node does that has read all."""
         if self.alive and not self.stands:
-            self.core.overlook(self.timeline.now)
+            self.core.expire_openings(self.timeline.now)
 
     def go_on(self) -> None:
         """Handle all that has come in meanwhile, in one go."""
