--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -96,7 +96,7 @@
         if missed:
             self.counts[Reason.OPENING_MISSED.value] += missed
 
-    def quiet_for(self, now: float) -> float:
+    def seconds_until_due(self, now: float) -> float:
         """Return the seconds until there is something to conclude."""
         if self.updater.upstreams.ended or self.updater.upstreams.lapsed:
             return 0
--- a/burdocksill/packets/node.py
+++ b/burdocksill/packets/node.py
@@ -90,7 +90,7 @@
     async def forward_packets(self) -> None:
         """Handle what the routers send, in batches."""
         while True:
-            with trio.move_on_after(self.core.quiet_for(self.clock())):
+            with trio.move_on_after(self.core.seconds_until_due(self.clock())):
                 await trio.lowlevel.wait_readable(self.core.datagrams)
             self.core.drain(self.clock())
 
--- a/burdocksill_lab/packets/world.py
+++ b/burdocksill_lab/packets/world.py
@@ -81,7 +81,7 @@
 
     def wait_for_missed(self) -> None:
         """Look for missed openings when the next one is due."""
-        wait = self.core.quiet_for(self.timeline.now)
+        wait = self.core.seconds_until_due(self.timeline.now)
         if not math.isinf(wait):
             self.timeline.after(wait, self.expire_openings)
 
