--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -134,7 +134,7 @@
             # The sender repeats it; waiting here would stop everyone else.
             self.counts['send-failed'] += 1
 
-    def upkeep(self, now: float) -> None:
+    def expire_idle(self, now: float) -> None:
         """Forget what has been idle for too long, and suspicions that ended."""
         self.updater.upstreams.forget_old(now)
         self.updater.placer.outages.review(now)
--- a/burdocksill/packets/node.py
+++ b/burdocksill/packets/node.py
@@ -57,7 +57,7 @@
             nursery.start_soon(self.forward_packets)
             nursery.start_soon(self.serve_pages)
             nursery.start_soon(self.store_sync.run)
-            nursery.start_soon(self.upkeep)
+            nursery.start_soon(self.expire_idle)
             await self.wait_for_stop()
             nursery.cancel_scope.cancel()
         logger.info('stopped')
@@ -94,11 +94,11 @@
                 await trio.lowlevel.wait_readable(self.core.datagrams)
             self.core.drain(self.clock())
 
-    async def upkeep(self) -> None:
+    async def expire_idle(self) -> None:
         """Forget what has been idle for too long."""
         while True:
             await trio.sleep(UPKEEP_SECONDS)
-            self.core.upkeep(self.clock())
+            self.core.expire_idle(self.clock())
 
     async def serve_pages(self) -> None:
         """Answer probes of readiness and readers of metrics."""
