--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -72,7 +72,7 @@
 
     def drain(self, now: float) -> None:
         """Handle at most one batch of waiting packets."""
-        self.forwarder.flows.behind = self.is_behind(now)
+        self.forwarder.flows.behind = self.is_backlogged(now)
         for _ in range(BATCH_LIMIT):
             try:
                 payload = self.datagrams.recv(LARGEST_PACKET + 1)
@@ -102,7 +102,7 @@
             return 0
         return max(0, self.forwarder.openings.next_due() - now)
 
-    def is_behind(self, now: float) -> bool:
+    def is_backlogged(self, now: float) -> bool:
         """Return True when packets wait here for long.
 
         A node that was slowed down reads a client's repeat although the
