--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -13,7 +13,7 @@
 from burdocksill.packets.header import (
     TAG,
     Packet,
-    dotted,
+    format_ipv4,
     read_packet,
     reset_of,
     with_echo,
@@ -324,5 +324,5 @@
     def reset_packet(self, key: FlowKey, ack: int, reason: Reason) -> Reset:
         """Forget a flow and return the packet that ends it."""
         self.flows.end(key)
-        target = (dotted(key[0]), self.client_port)
+        target = (format_ipv4(key[0]), self.client_port)
         return Reset(reset_of(key, ack), target, reason)
--- a/burdocksill/packets/header.py
+++ b/burdocksill/packets/header.py
@@ -132,10 +132,10 @@
 def flow_id(flow: tuple[int, int, int, int]) -> str:
     """Write a flow as client:port>address:port for people."""
     client, client_port, address, port = flow
-    return f'{dotted(client)}:{client_port}>{dotted(address)}:{port}'
+    return f'{format_ipv4(client)}:{client_port}>{format_ipv4(address)}:{port}'
 
 
-def dotted(address: int) -> str:
+def format_ipv4(address: int) -> str:
     """Write an IPv4 address that is held as a number."""
     return '.'.join(str(part) for part in address.to_bytes(4, 'big'))
 
--- a/burdocksill_lab/packets/upstream.py
+++ b/burdocksill_lab/packets/upstream.py
@@ -17,7 +17,7 @@
     SYN,
     TAG,
     Packet,
-    dotted,
+    format_ipv4,
     undotted,
 )
 from burdocksill_lab.packets.checksum import is_intact, with_checksum
@@ -177,7 +177,7 @@
             1,
             flags,
         )
-        target = (dotted(packet.client), self.client_port)
+        target = (format_ipv4(packet.client), self.client_port)
         payload = with_checksum(head + bytes(length))
         self.network.send(payload, self.address, target)
 
--- a/burdocksill_lab/packets/world.py
+++ b/burdocksill_lab/packets/world.py
@@ -12,7 +12,7 @@
 
 from burdocksill.network.addresses import Address as Place
 from burdocksill.packets.core import PacketCore, make_core
-from burdocksill.packets.header import dotted, undotted
+from burdocksill.packets.header import format_ipv4, undotted
 from burdocksill.packets.settings import PacketSettings
 from burdocksill.platform.records import (
     DOMAINS_OUT,
@@ -290,7 +290,7 @@
             living = alive or self.nodes
         digest = zlib.crc32(repr(flow).encode())
         node = living[digest % len(living)]
-        source = (dotted(flow[0]), PORT)
+        source = (format_ipv4(flow[0]), PORT)
         self.network.send(payload, source, node.address)
 
     def run(self, seconds: float) -> None:
