--- a/burdocksill/packets/header.py
+++ b/burdocksill/packets/header.py
@@ -140,7 +140,7 @@
     return '.'.join(str(part) for part in address.to_bytes(4, 'big'))
 
 
-def undotted(text: str) -> int:
+def parse_ipv4(text: str) -> int:
     """Read an IPv4 address as a number; ValueError when it is none."""
     parts = [int(part) for part in text.split('.')]
     if len(parts) != 4:
--- a/burdocksill/platform/records.py
+++ b/burdocksill/platform/records.py
@@ -6,7 +6,7 @@
 import math
 
 from burdocksill.network.addresses import Address
-from burdocksill.packets.header import undotted
+from burdocksill.packets.header import parse_ipv4
 from burdocksill.packets.messages import (
     DomainUpdate,
     Manifest,
@@ -201,7 +201,7 @@
     try:
         return Route(
             name=name,
-            address=undotted(host),
+            address=parse_ipv4(host),
             port=int(port),
             weighted_services=read_shares(found),
             # `SloMs` is the latency objective of the requests inside.
@@ -243,7 +243,7 @@
     state = take(found, 'State', str, None)
     host, _, port = take(found, 'Address', str, None).rpartition(':')
     try:
-        undotted(host)
+        parse_ipv4(host)
         record = UpstreamRecord(
             name=name,
             tag=read_tag(name),
--- a/burdocksill_lab/packets/loopback.py
+++ b/burdocksill_lab/packets/loopback.py
@@ -13,7 +13,7 @@
 import attrs
 import trio
 
-from burdocksill.packets.header import undotted
+from burdocksill.packets.header import parse_ipv4
 from burdocksill.platform.early import VARIABLE
 from burdocksill_lab.packets.client import ClientFlow, Outcome, hand_over
 from burdocksill_lab.packets.network import Address, Receiver
@@ -289,9 +289,9 @@
         first = len(self.flows)
         for number in range(first, first + count):
             key = (
-                undotted(self.client[0]),
+                parse_ipv4(self.client[0]),
                 number + 1024,
-                undotted(ROUTE_HOST),
+                parse_ipv4(ROUTE_HOST),
                 port,
             )
             flow = ClientFlow(key=key, timeline=self.timeline, send=self.route)
--- a/burdocksill_lab/packets/upstream.py
+++ b/burdocksill_lab/packets/upstream.py
@@ -18,7 +18,7 @@
     TAG,
     Packet,
     format_ipv4,
-    undotted,
+    parse_ipv4,
 )
 from burdocksill_lab.packets.checksum import is_intact, with_checksum
 from burdocksill_lab.packets.network import Address, Network, Timeline
@@ -208,4 +208,4 @@
     )
 
 
-__all__ = ('Condition', 'LabUpstream', 'names', 'undotted')
+__all__ = ('Condition', 'LabUpstream', 'names', 'parse_ipv4')
--- a/burdocksill_lab/packets/world.py
+++ b/burdocksill_lab/packets/world.py
@@ -12,7 +12,7 @@
 
 from burdocksill.network.addresses import Address as Place
 from burdocksill.packets.core import PacketCore, make_core
-from burdocksill.packets.header import format_ipv4, undotted
+from burdocksill.packets.header import format_ipv4, parse_ipv4
 from burdocksill.packets.settings import PacketSettings
 from burdocksill.platform.records import (
     DOMAINS_OUT,
@@ -262,7 +262,7 @@
         """Prepare a client's flow; its first request opens it."""
         self.ports += 1
         host = host or f'100.64.0.{sum(domain.encode()) % 200 + 1}'
-        key = (undotted(host), self.ports, undotted(ROUTE_HOST), port)
+        key = (parse_ipv4(host), self.ports, parse_ipv4(ROUTE_HOST), port)
         flow = ClientFlow(
             key=key,
             timeline=self.timeline,
--- a/burdocksill_lab/soak/day.py
+++ b/burdocksill_lab/soak/day.py
@@ -9,7 +9,7 @@
 import attrs
 import trio
 
-from burdocksill.packets.header import FIN, undotted
+from burdocksill.packets.header import FIN, parse_ipv4
 from burdocksill.platform.records import DOMAINS_OUT, UPSTREAMS
 from burdocksill_lab.packets.client import ClientFlow, hand_over
 from burdocksill_lab.packets.loopback import (
@@ -243,9 +243,9 @@
         if self.next_port > LAST_PORT:
             self.next_port = FIRST_PORT
         key = (
-            undotted(self.client_host(domain)),
+            parse_ipv4(self.client_host(domain)),
             self.next_port,
-            undotted(ROUTE_HOST),
+            parse_ipv4(ROUTE_HOST),
             port,
         )
         flow = ClientFlow(
--- a/tests/steps/lab_soak.py
+++ b/tests/steps/lab_soak.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 from behave.runner import Context
 
-from burdocksill.packets.header import HEADER, SYN, Packet, undotted
+from burdocksill.packets.header import HEADER, SYN, Packet, parse_ipv4
 from burdocksill_lab.packets.client import ClientFlow, Outcome, Request
 from burdocksill_lab.packets.network import DatagramNetwork, VirtualTimeline
 from burdocksill_lab.packets.upstream import Condition, LabUpstream
@@ -65,7 +65,7 @@
     context.judge = judge
     context.upstream = upstream
     context.flow = ClientFlow(
-        key=(undotted('10.0.0.1'), 1024, undotted('198.18.0.1'), PORT),
+        key=(parse_ipv4('10.0.0.1'), 1024, parse_ipv4('198.18.0.1'), PORT),
         timeline=timeline,
         send=lambda *_: None,
         echo=upstream.tag,
--- a/tests/steps/packets_reporters.py
+++ b/tests/steps/packets_reporters.py
@@ -11,7 +11,7 @@
 
 from burdocksill.observe.early import early_lines
 from burdocksill.observe.writer import LineWriter
-from burdocksill.packets.header import Packet, undotted
+from burdocksill.packets.header import Packet, parse_ipv4
 from burdocksill.packets.messages import UpstreamRecord, UpstreamState
 from burdocksill.packets.outages import Outages
 from burdocksill.packets.upstreams import KnownUpstream, Upstreams
@@ -116,7 +116,7 @@
     deployment = deployment_of(context)
     for one in deployment.callers:
         one.most_idle = 0
-    home = undotted(f'100.65.{sum(DOMAIN.encode()) % ADDRESSES}.0')
+    home = parse_ipv4(f'100.65.{sum(DOMAIN.encode()) % ADDRESSES}.0')
     context.opened = []
 
     def note(upstream: LabUpstream, packet: Packet) -> None:
--- a/tools/start_cost.py
+++ b/tools/start_cost.py
@@ -26,7 +26,7 @@
 
 import click
 
-from burdocksill.packets.header import HEADER, SYN, undotted
+from burdocksill.packets.header import HEADER, SYN, parse_ipv4
 from burdocksill.platform.early import VARIABLE
 from burdocksill.platform.records import MANIFEST, UPSTREAMS
 from burdocksill_lab.packets.upstream import LabUpstream
@@ -94,10 +94,10 @@
         0,
         1,
         0,
-        undotted('127.0.0.9'),
+        parse_ipv4('127.0.0.9'),
         ROUTE_PORT,
         port,
-        undotted(ROUTE_HOST),
+        parse_ipv4(ROUTE_HOST),
         1,
         SYN,
     )
