--- a/burdocksill/packets/flows.py
+++ b/burdocksill/packets/flows.py
@@ -10,7 +10,13 @@
 from collections.abc import Iterator
 
 from burdocksill.packets.admission import Answer
-from burdocksill.packets.header import FIN, RST, Packet, advanced, distance
+from burdocksill.packets.header import (
+    FIN,
+    RST,
+    Packet,
+    distance,
+    is_sequence_after,
+)
 from burdocksill.packets.routing import RoutingTable
 from burdocksill.packets.upstreams import KnownUpstream
 
@@ -166,7 +172,7 @@
         gap = now - flow.seen_at
         flow.seen_at = now
         key = packet.flow
-        if not flow.open or advanced(packet.ack, flow.ack):
+        if not flow.open or is_sequence_after(packet.ack, flow.ack):
             self.answered(flow, packet, now)
         if packet.length:
             self.sent(
--- a/burdocksill/packets/header.py
+++ b/burdocksill/packets/header.py
@@ -119,7 +119,7 @@
     )
 
 
-def advanced(newer: int, older: int) -> bool:
+def is_sequence_after(newer: int, older: int) -> bool:
     """Return True when a sequence number lies after another, modulo 2**32."""
     return 0 < distance(newer, older) < HALF_SPACE
 
