--- a/burdocksill/packets/flows.py
+++ b/burdocksill/packets/flows.py
@@ -14,8 +14,8 @@
     FIN,
     RST,
     Packet,
-    distance,
     is_sequence_after,
+    sequence_distance,
 )
 from burdocksill.packets.routing import RoutingTable
 from burdocksill.packets.upstreams import KnownUpstream
@@ -201,7 +201,7 @@
             Answer(
                 seconds=seconds,
                 in_progress=flow.in_progress,
-                size=distance(packet.ack, flow.ack),
+                size=sequence_distance(packet.ack, flow.ack),
                 objective_seconds=flow.objective_seconds,
             ),
             now,
--- a/burdocksill/packets/header.py
+++ b/burdocksill/packets/header.py
@@ -121,10 +121,10 @@
 
 def is_sequence_after(newer: int, older: int) -> bool:
     """Return True when a sequence number lies after another, modulo 2**32."""
-    return 0 < distance(newer, older) < HALF_SPACE
+    return 0 < sequence_distance(newer, older) < HALF_SPACE
 
 
-def distance(newer: int, older: int) -> int:
+def sequence_distance(newer: int, older: int) -> int:
     """Return the bytes from a sequence number to another, modulo 2**32."""
     return (newer - older) & SEQUENCE_MASK
 
