--- a/burdocksill/packets/main.py
+++ b/burdocksill/packets/main.py
@@ -25,7 +25,7 @@
     bind_probes,
 )
 from burdocksill.platform.node_file import read_node_file
-from burdocksill.platform.records import EVERYTHING, RecordDecoder
+from burdocksill.platform.records import ALL_KEYS, RecordDecoder
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -54,7 +54,7 @@
     """Read the store once, before the rest of the program is there."""
     reading = InitialRead(
         remote=settings.platform,
-        pages=range_pages(EVERYTHING),
+        pages=range_pages(ALL_KEYS),
         core=core,
         asked_at=core.progress.now(),
     )
--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -17,7 +17,7 @@
 from burdocksill.packets.updater import StateUpdater
 from burdocksill.packets.watcher import StoreWatcher
 from burdocksill.platform.keys import READERS
-from burdocksill.platform.records import EVERYTHING, read_reader, write_reader
+from burdocksill.platform.records import ALL_KEYS, read_reader, write_reader
 from burdocksill.platform.store import StorePlatform
 from burdocksill.readers.changes import ChangeLog
 from burdocksill.readers.claims import Claim
@@ -137,7 +137,7 @@
     """Compose the tasks; with an address for peers the readings are shared."""
     platform = make_platform(settings, runtime)
     follower = StoreWatcher(
-        prefix=EVERYTHING,
+        prefix=ALL_KEYS,
         source=platform,
         store_cache=store_cache,
         rng=runtime.rng,
--- a/burdocksill/platform/records.py
+++ b/burdocksill/platform/records.py
@@ -32,7 +32,7 @@
 
 # Operators and upstreams write below prefixes of their own; nobody else does,
 # so that the empty one holds both, and one watch follows both.
-EVERYTHING: Final = ''
+ALL_KEYS: Final = ''
 MANIFEST: Final = 'op/config'
 DOMAINS_OUT: Final = 'op/evacuate/'
 UPSTREAMS: Final = 'servers/'
--- a/tests/steps/packets_start.py
+++ b/tests/steps/packets_start.py
@@ -24,7 +24,7 @@
 )
 from burdocksill.platform.calls import range_pages
 from burdocksill.platform.early import VARIABLE
-from burdocksill.platform.records import EVERYTHING
+from burdocksill.platform.records import ALL_KEYS
 from burdocksill_lab.commands.packets import UNKNOWN_PORT, restart_in_turn
 from burdocksill_lab.packets.client import Outcome
 from burdocksill_lab.packets.loopback import LoopbackDay, NodeProcess
@@ -537,7 +537,7 @@
     def read(port: int) -> None:
         reading = InitialRead(
             remote=Address('127.0.0.1', port),
-            pages=range_pages(EVERYTHING),
+            pages=range_pages(ALL_KEYS),
             core=core,
             asked_at=core.progress.now(),
         )
--- a/tests/steps/platform_store.py
+++ b/tests/steps/platform_store.py
@@ -21,7 +21,7 @@
 from burdocksill.packets.upstreams import Upstreams
 from burdocksill.packets.watcher import StoreWatcher
 from burdocksill.platform.calls import range_pages
-from burdocksill.platform.records import EVERYTHING, MANIFEST, RecordDecoder
+from burdocksill.platform.records import ALL_KEYS, MANIFEST, RecordDecoder
 from burdocksill.platform.store import StorePlatform
 from burdocksill_lab.packets.store import LabStore, Trouble
 
@@ -89,7 +89,7 @@
     """Read every key."""
 
     async def work(platform: StorePlatform) -> Any:
-        return await platform.read_prefix(EVERYTHING)
+        return await platform.read_prefix(ALL_KEYS)
 
     context.found = with_store(context, work)
     context.reading_calls = len(context.store.calls)
@@ -122,7 +122,7 @@
     async def work(platform: StorePlatform) -> Any:
         after = context.found.revision
         try:
-            return await platform.changes(prefix=EVERYTHING, after=after)
+            return await platform.changes(prefix=ALL_KEYS, after=after)
         except BurdocksillError as error:
             return error
 
@@ -165,7 +165,7 @@
             nursery.start_soon(close_soon, platform)
             after = context.found.revision
             try:
-                await platform.changes(prefix=EVERYTHING, after=after)
+                await platform.changes(prefix=ALL_KEYS, after=after)
             except BurdocksillError as error:
                 return error.code
         return 'none'
@@ -187,7 +187,7 @@
     async def work(platform: StorePlatform) -> Any:
         began = trio.current_time()
         try:
-            await platform.read_prefix(EVERYTHING)
+            await platform.read_prefix(ALL_KEYS)
         except BurdocksillError as error:
             return error.code, trio.current_time() - began
         return 'none', 0
@@ -255,7 +255,7 @@
 @when('the store answers a reading with {body}')
 def answer_with(context: Context, body: str) -> None:
     """Hand an answer to the reading."""
-    pages = range_pages(EVERYTHING)
+    pages = range_pages(ALL_KEYS)
     next(pages)
     try:
         pages.send(HttpReply(status=200, body=body.encode()))
@@ -316,7 +316,7 @@
             rng=Random(1),
         )
         follower = StoreWatcher(
-            prefix=EVERYTHING,
+            prefix=ALL_KEYS,
             source=platform,
             store_cache=StoreCache(
                 updater=StateUpdater(
