--- a/burdocksill/documents/acceptance.py
+++ b/burdocksill/documents/acceptance.py
@@ -133,7 +133,7 @@
     async def attempt(self) -> Accepted | None:
         """Swap once, then read back when the answer was lost."""
         try:
-            swap = await self.platform.swap(
+            swap = await self.platform.compare_and_swap(
                 key=self.key,
                 value=self.value,
                 expected_revision=self.expected_revision,
--- a/burdocksill/management/commands/keys.py
+++ b/burdocksill/management/commands/keys.py
@@ -44,7 +44,7 @@
     async def write(platform: Platform) -> KeyRing:
         stored = await platform.read(FLEET_KEYS)
         ring = rotate(decode_ring(stored.value) if stored else None)
-        swap = await platform.swap(
+        swap = await platform.compare_and_swap(
             key=FLEET_KEYS,
             value=encode_ring(ring),
             expected_revision=stored.revision if stored else 0,
--- a/burdocksill/platform/etcd.py
+++ b/burdocksill/platform/etcd.py
@@ -101,7 +101,7 @@
             revision=int(answer['header']['revision']),
         )
 
-    async def swap(
+    async def compare_and_swap(
         self,
         *,
         key: str,
--- a/burdocksill/platform/protocols.py
+++ b/burdocksill/platform/protocols.py
@@ -48,7 +48,7 @@
     async def read_prefix(self, prefix: str) -> Snapshot:
         """Return all values below a prefix at one revision."""
 
-    async def swap(
+    async def compare_and_swap(
         self,
         *,
         key: str,
--- a/burdocksill/platform/store.py
+++ b/burdocksill/platform/store.py
@@ -191,7 +191,7 @@
             for value in found.values:
                 yield value
 
-    async def swap(
+    async def compare_and_swap(
         self,
         *,
         key: str,
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -222,7 +222,7 @@
         if await self.is_taken():
             return
         lease = await self.store.grant(LEASE_SECONDS)
-        result = await self.store.swap(
+        result = await self.store.compare_and_swap(
             key=self.key,
             value=self.value,
             expected_revision=expected,
--- a/burdocksill/readers/protocols.py
+++ b/burdocksill/readers/protocols.py
@@ -73,7 +73,7 @@
     ) -> StoredValue | None:
         """Return a value; a stale one may be seconds old, and costs less."""
 
-    async def swap(
+    async def compare_and_swap(
         self,
         *,
         key: str,
--- a/burdocksill_lab/commands/demo.py
+++ b/burdocksill_lab/commands/demo.py
@@ -107,7 +107,7 @@
         for index, domain in enumerate(DOMAINS, start=1):
             record = entry_record(f'{domain}-entry-1', f'127.0.{index}.1')
             self.entries[record.name] = record
-            await client.swap(
+            await client.compare_and_swap(
                 key=keys.VMS + record.name,
                 value=msgspec.json.encode(record),
                 expected_revision=0,
--- a/burdocksill_lab/fakes/platform.py
+++ b/burdocksill_lab/fakes/platform.py
@@ -40,7 +40,7 @@
         await self.reach()
         return await self.platform.read_prefix(prefix)
 
-    async def swap(
+    async def compare_and_swap(
         self,
         *,
         key: str,
@@ -49,7 +49,7 @@
     ) -> SwapResult:
         """Write if the key still has the expected revision (0: absent)."""
         await self.reach()
-        return await self.platform.swap(
+        return await self.platform.compare_and_swap(
             key=key,
             value=value,
             expected_revision=expected_revision,
--- a/burdocksill_lab/fleet.py
+++ b/burdocksill_lab/fleet.py
@@ -141,7 +141,7 @@
         client = EtcdPlatform(endpoint=self.url)
         key = keys.VMS + name
         stored = await client.read(key)
-        await client.swap(
+        await client.compare_and_swap(
             key=key,
             value=msgspec.json.encode(record),
             expected_revision=stored.revision if stored else 0,
--- a/burdocksill_lab/loopback.py
+++ b/burdocksill_lab/loopback.py
@@ -126,7 +126,7 @@
                 admin_port=ports[2],
             )
             self.entries[record.name] = record
-            await client.swap(
+            await client.compare_and_swap(
                 key=keys.VMS + record.name,
                 value=msgspec.json.encode(record),
                 expected_revision=0,
--- a/burdocksill_lab/stand_ins/gateway.py
+++ b/burdocksill_lab/stand_ins/gateway.py
@@ -95,7 +95,7 @@
     async def txn(self, body: Body) -> Body:
         """Compare and swap."""
         put = body['success'][0]['request_put']
-        swap = await self.platform.swap(
+        swap = await self.platform.compare_and_swap(
             key=text_of(put['key']),
             value=base64.b64decode(put['value']),
             expected_revision=int(body['compare'][0]['mod_revision']),
--- a/burdocksill_lab/stand_ins/store.py
+++ b/burdocksill_lab/stand_ins/store.py
@@ -112,7 +112,7 @@
             if stored.revision <= revision
         }
 
-    async def swap(
+    async def compare_and_swap(
         self,
         *,
         key: str,
--- a/tests/steps/documents_acceptance.py
+++ b/tests/steps/documents_acceptance.py
@@ -29,11 +29,11 @@
     deadline: float = 7
     overtaken: bool = False
 
-    async def swap(
+    async def compare_and_swap(
         self, *, key: str, value: bytes, expected_revision: int
     ) -> SwapResult:
         """Swap, and let another edit follow a lost answer."""
-        swap = partial(MemoryPlatform.swap, self)
+        swap = partial(MemoryPlatform.compare_and_swap, self)
         try:
             return await swap(
                 key=key, value=value, expected_revision=expected_revision
--- a/tests/steps/platform_store.py
+++ b/tests/steps/platform_store.py
@@ -210,7 +210,7 @@
     context.store.trouble = Trouble.LOST
 
     async def work(platform: StorePlatform) -> Any:
-        return await platform.swap(
+        return await platform.compare_and_swap(
             key='burdocksill/x',
             value=b'mine',
             expected_revision=0,
@@ -232,7 +232,7 @@
 
     async def work(platform: StorePlatform) -> Any:
         return [
-            await platform.swap(
+            await platform.compare_and_swap(
                 key='burdocksill/x',
                 value=value,
                 expected_revision=0,
