--- a/burdocksill/platform/store.py
+++ b/burdocksill/platform/store.py
@@ -229,7 +229,7 @@
         revision = current.revision if current else 0
         return SwapResult(accepted=False, revision=revision, current=current)
 
-    async def grant(self, seconds: float) -> int:
+    async def grant_lease(self, seconds: float) -> int:
         """Begin a lease and return its number."""
         wanted = {'TtlMs': round(seconds * MILLISECONDS)}
         target = '/-/kv-lease'
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -221,7 +221,7 @@
         expected = self.claim.entry.revision
         if await self.is_taken():
             return
-        lease = await self.store.grant(LEASE_SECONDS)
+        lease = await self.store.grant_lease(LEASE_SECONDS)
         result = await self.store.compare_and_swap(
             key=self.key,
             value=self.value,
--- a/burdocksill/readers/protocols.py
+++ b/burdocksill/readers/protocols.py
@@ -56,7 +56,7 @@
 class LeaseStore(Protocol):
     """Register a key that goes away when its writer does."""
 
-    async def grant(self, seconds: float) -> int:
+    async def grant_lease(self, seconds: float) -> int:
         """Begin a lease and return its number."""
 
     async def keep(self, lease: int) -> bool:
