--- a/burdocksill/platform/store.py
+++ b/burdocksill/platform/store.py
@@ -242,7 +242,7 @@
             )
         return lease
 
-    async def keep(self, lease: int) -> bool:
+    async def keep_lease_alive(self, lease: int) -> bool:
         """Renew a lease; False when it has ended."""
         reply = await self.call('POST', f'/-/kv-keep/{lease}')
         return reply.status == OK
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -205,7 +205,7 @@
             return
         began = self.claim.clock()
         if self.claim.holds:
-            runs = await self.store.keep(self.claim.lease)
+            runs = await self.store.keep_lease_alive(self.claim.lease)
             self.claim.renewed(began, runs=runs)
         elif self.claim.is_due():
             await self.offer(began)
--- a/burdocksill/readers/protocols.py
+++ b/burdocksill/readers/protocols.py
@@ -59,7 +59,7 @@
     async def grant_lease(self, seconds: float) -> int:
         """Begin a lease and return its number."""
 
-    async def keep(self, lease: int) -> bool:
+    async def keep_lease_alive(self, lease: int) -> bool:
         """Renew a lease; False when it has ended."""
 
     async def end(self, lease: int) -> None:
