--- a/burdocksill/platform/store.py
+++ b/burdocksill/platform/store.py
@@ -247,7 +247,7 @@
         reply = await self.call('POST', f'/-/kv-keep/{lease}')
         return reply.status == OK
 
-    async def end(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         """End a lease, and remove its keys."""
         await self.call('DELETE', f'/-/kv-lease-end/{lease}')
 
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -252,7 +252,7 @@
             self.claim.lose('this node stops')
             self.subscription.reads = False
             try:
-                await self.store.end(lease)
+                await self.store.revoke_lease(lease)
             except BurdocksillError as error:
                 # The lease ends by itself within its time.
                 logger.warning('lease not ended', extra={'cause': str(error)})
--- a/burdocksill/readers/protocols.py
+++ b/burdocksill/readers/protocols.py
@@ -62,7 +62,7 @@
     async def keep_lease_alive(self, lease: int) -> bool:
         """Renew a lease; False when it has ended."""
 
-    async def end(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         """End a lease, and remove its keys."""
 
     async def read(
