--- a/burdocksill/packets/store_probe.py
+++ b/burdocksill/packets/store_probe.py
@@ -10,7 +10,7 @@
 from burdocksill.observe.lines import StateLine
 from burdocksill.packets.isolation import Isolation
 from burdocksill.platform.exceptions import PlatformUnavailableError
-from burdocksill.platform.store import StorePlatform
+from burdocksill.platform.store import StoreClient
 
 # A store without trouble answers in a small part of this.
 ANSWER_SECONDS: Final = 0.35
@@ -24,7 +24,7 @@
     """Make cheap calls over new connections while a cut is suspected."""
 
     isolation: Isolation
-    platform: StorePlatform
+    platform: StoreClient
     # Any key of the store does.
     key: str
     clock: Clock
--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -18,7 +18,7 @@
 from burdocksill.packets.watcher import StoreWatcher
 from burdocksill.platform.keys import READERS
 from burdocksill.platform.records import ALL_KEYS, read_reader, write_reader
-from burdocksill.platform.store import StorePlatform
+from burdocksill.platform.store import StoreClient
 from burdocksill.readers.changes import ChangeLog
 from burdocksill.readers.claims import Claim
 from burdocksill.readers.exchange import Candidate, PeerExchange, SharedReadGate
@@ -34,7 +34,7 @@
 
     exchange: PeerExchange
     candidate: Candidate
-    platform: StorePlatform
+    platform: StoreClient
     probe: StoreProbe
 
 
@@ -43,7 +43,7 @@
     """Hold the tasks that keep a node's knowledge current."""
 
     follower: StoreWatcher
-    platform: StorePlatform
+    platform: StoreClient
     sharing: Sharing | None = None
 
     @property
@@ -52,7 +52,7 @@
         return self.sharing is not None and self.sharing.candidate.claim.holds
 
     @property
-    def platforms(self) -> list[StorePlatform]:
+    def platforms(self) -> list[StoreClient]:
         """Return the clients of the store, one for each connection."""
         if self.sharing is None:
             return [self.platform]
@@ -120,13 +120,13 @@
 def make_platform(
     settings: PacketSettings,
     runtime: Runtime,
-) -> StorePlatform:
+) -> StoreClient:
     """Prepare a client of the store with a connection of its own."""
     connection = HttpConnection(
         network=runtime.network,
         remote=settings.platform,
     )
-    return StorePlatform(connection=connection)
+    return StoreClient(connection=connection)
 
 
 async def make_store_sync(
--- a/burdocksill/platform/store.py
+++ b/burdocksill/platform/store.py
@@ -48,7 +48,7 @@
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
-class StorePlatform:
+class StoreClient:
     """Call the store, one call after the other over one connection."""
 
     connection: HttpConnection
--- a/tests/steps/platform_store.py
+++ b/tests/steps/platform_store.py
@@ -22,12 +22,12 @@
 from burdocksill.packets.watcher import StoreWatcher
 from burdocksill.platform.calls import range_pages
 from burdocksill.platform.records import ALL_KEYS, MANIFEST, RecordDecoder
-from burdocksill.platform.store import StorePlatform
+from burdocksill.platform.store import StoreClient
 from burdocksill_lab.packets.store import LabStore, Trouble
 
 MEGABIT_BYTES = 125_000
 
-Work = Callable[[StorePlatform], Awaitable[Any]]
+Work = Callable[[StoreClient], Awaitable[Any]]
 
 
 def with_store(context: Context, work: Work) -> Any:
@@ -46,7 +46,7 @@
                 context.store.serve,
                 listeners,
             )
-            result = await work(StorePlatform(connection=connection))
+            result = await work(StoreClient(connection=connection))
             await connection.close()
             nursery.cancel_scope.cancel()
         return result
@@ -88,7 +88,7 @@
 def read_all(context: Context) -> None:
     """Read every key."""
 
-    async def work(platform: StorePlatform) -> Any:
+    async def work(platform: StoreClient) -> Any:
         return await platform.read_prefix(ALL_KEYS)
 
     context.found = with_store(context, work)
@@ -119,7 +119,7 @@
 def next_changes(context: Context) -> Any:
     """Wait for the changes after the reading."""
 
-    async def work(platform: StorePlatform) -> Any:
+    async def work(platform: StoreClient) -> Any:
         after = context.found.revision
         try:
             return await platform.changes(prefix=ALL_KEYS, after=after)
@@ -156,11 +156,11 @@
 def check_closed(context: Context, code: str) -> None:
     """Close the connection while a watch waits for changes."""
 
-    async def close_soon(platform: StorePlatform) -> None:
+    async def close_soon(platform: StoreClient) -> None:
         await trio.sleep(0.2)
         await platform.connection.close()
 
-    async def work(platform: StorePlatform) -> Any:
+    async def work(platform: StoreClient) -> Any:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(close_soon, platform)
             after = context.found.revision
@@ -184,7 +184,7 @@
 def check_reading_fails(context: Context, code: str, limit: float) -> None:
     """Look for the error and its time."""
 
-    async def work(platform: StorePlatform) -> Any:
+    async def work(platform: StoreClient) -> Any:
         began = trio.current_time()
         try:
             await platform.read_prefix(ALL_KEYS)
@@ -209,7 +209,7 @@
     """Write while answers to writes are lost."""
     context.store.trouble = Trouble.LOST
 
-    async def work(platform: StorePlatform) -> Any:
+    async def work(platform: StoreClient) -> Any:
         return await platform.compare_and_swap(
             key='burdocksill/x',
             value=b'mine',
@@ -230,7 +230,7 @@
 def write_twice(context: Context) -> None:
     """Write the same key twice as if it were new."""
 
-    async def work(platform: StorePlatform) -> Any:
+    async def work(platform: StoreClient) -> Any:
         return [
             await platform.compare_and_swap(
                 key='burdocksill/x',
@@ -307,7 +307,7 @@
             await trio.sleep(0.02)
         context.lags.append(trio.current_time() - began)
 
-    async def work(platform: StorePlatform) -> Any:
+    async def work(platform: StoreClient) -> Any:
         upstreams = Upstreams()
         placer = PacketPlacer(
             domain='a',
