--- a/burdocksill/packets/metrics.py
+++ b/burdocksill/packets/metrics.py
@@ -44,7 +44,7 @@
         count = self.store_sync.received_bytes
         more = self.since_shown('store_received_bytes', '', count)
         self.counters.add('store_received_bytes', more)
-        count = self.store_sync.cut_short
+        count = self.store_sync.truncated
         more = self.since_shown('store_answers_cut_short', '', count)
         self.counters.add('store_answers_cut_short', more)
 
--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -73,9 +73,9 @@
         return sum(platform.received_bytes for platform in self.platforms)
 
     @property
-    def cut_short(self) -> int:
+    def truncated(self) -> int:
         """Return how many answers of the store were given up half-way."""
-        return sum(platform.cut_short for platform in self.platforms)
+        return sum(platform.truncated for platform in self.platforms)
 
     @property
     def signs(self) -> dict[str, int]:
--- a/burdocksill/platform/store.py
+++ b/burdocksill/platform/store.py
@@ -56,7 +56,7 @@
     calls: dict[int, int] = attrs.field(factory=dict)
     received_bytes: int = 0
     # Calls that were given up while their answers were arriving.
-    cut_short: int = 0
+    truncated: int = 0
 
     async def call(
         self,
@@ -117,7 +117,7 @@
             )
             lost.silent = isinstance(error, trio.TooSlowError)
             return lost
-        self.cut_short += 1
+        self.truncated += 1
         return PlatformCutShortError(
             message=message,
             received=self.connection.received,
--- a/tests/steps/packets_admission.py
+++ b/tests/steps/packets_admission.py
@@ -241,7 +241,7 @@
                 calls=Counter(),
                 reads=False,
                 received_bytes=0,
-                cut_short=0,
+                truncated=0,
                 signs={},
             ),
         ).render(world.timeline.now)
