--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -132,7 +132,7 @@
         # Versions of a manifest that were replaced meanwhile aren't decoded.
         newest = newest_of_each(found.values)
         newer = tuple(one for one in newest if one.revision > before)
-        self.take(found.changed(values=newer), synced_at)
+        self.take(found.evolve(values=newer), synced_at)
 
     def take(self, newer: Snapshot, synced_at: float) -> None:
         """Put changes into force and take note of them."""
@@ -170,4 +170,4 @@
             for key in sorted(gone)
         )
         written = (one for one in found.values if one.revision > before)
-        return found.changed(values=(*written, *removed))
+        return found.evolve(values=(*written, *removed))
--- a/burdocksill/platform/store.py
+++ b/burdocksill/platform/store.py
@@ -175,7 +175,7 @@
         found = decode_watch(target, reply)
         if found.values:
             return found
-        return found.changed(unchanged_seconds=wait)
+        return found.evolve(unchanged_seconds=wait)
 
     async def watch(
         self,
--- a/burdocksill/values.py
+++ b/burdocksill/values.py
@@ -35,7 +35,7 @@
         )
         return f'{type(self).__name__}({fields})'
 
-    def changed(self, **fields: Any) -> Self:
+    def evolve(self, **fields: Any) -> Self:
         """Return a copy with other fields."""
         kept = {name: getattr(self, name) for name in self.__slots__}
         return type(self)(**(kept | fields))
