--- a/burdocksill/observe/lines.py
+++ b/burdocksill/observe/lines.py
@@ -6,7 +6,7 @@
 
 
 @attrs.define(kw_only=True)
-class StateLine:
+class StateLogger:
     """Remember the state of one subject and write a line when it changes.
 
     A loop that tries again and again would else write the same line for as
--- a/burdocksill/packets/reload.py
+++ b/burdocksill/packets/reload.py
@@ -10,7 +10,7 @@
 
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.observe.early import early_lines
-from burdocksill.observe.lines import StateLine
+from burdocksill.observe.lines import StateLogger
 from burdocksill.packets.node import PacketNode
 from burdocksill.packets.settings import PacketSettings
 
@@ -28,7 +28,7 @@
 
     read: Callable[[], PacketSettings]
     node: PacketNode
-    line: StateLine = attrs.field(factory=lambda: StateLine(logger=logger))
+    line: StateLogger = attrs.field(factory=lambda: StateLogger(logger=logger))
 
     async def run(self) -> None:
         """Look for changes until the node stops."""
--- a/burdocksill/packets/store_probe.py
+++ b/burdocksill/packets/store_probe.py
@@ -7,7 +7,7 @@
 import trio
 
 from burdocksill.network.clock import Clock
-from burdocksill.observe.lines import StateLine
+from burdocksill.observe.lines import StateLogger
 from burdocksill.packets.isolation import Isolation
 from burdocksill.platform.exceptions import PlatformUnavailableError
 from burdocksill.platform.store import StoreClient
@@ -29,7 +29,7 @@
     key: str
     clock: Clock
     wanted: trio.Event = attrs.field(factory=trio.Event)
-    line: StateLine = attrs.field(factory=lambda: StateLine(logger=logger))
+    line: StateLogger = attrs.field(factory=lambda: StateLogger(logger=logger))
 
     def suspect(self) -> None:
         """Ask soon."""
--- a/burdocksill/packets/watcher.py
+++ b/burdocksill/packets/watcher.py
@@ -8,7 +8,7 @@
 import trio
 
 from burdocksill.exceptions import BurdocksillError
-from burdocksill.observe.lines import StateLine
+from burdocksill.observe.lines import StateLogger
 from burdocksill.packets.store_cache import StoreCache
 from burdocksill.platform.exceptions import (
     PlatformAnswerTooLargeError,
@@ -101,11 +101,11 @@
     pause: float = FIRST_PAUSE_SECONDS
     # What the latest call took above its wait.
     call_seconds: float = LONGEST_MARGIN_SECONDS
-    line: StateLine = attrs.field(init=False)
+    line: StateLogger = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Prepare the line that tells of touch lost and regained."""
-        self.line = StateLine(logger=logger)
+        self.line = StateLogger(logger=logger)
 
     async def run(self) -> None:
         """Read, follow, and start over after each failure."""
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -10,7 +10,7 @@
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.network.addresses import Address
 from burdocksill.network.protocols import DatagramSocket
-from burdocksill.observe.lines import StateLine
+from burdocksill.observe.lines import StateLogger
 from burdocksill.platform.values import StoredValue
 from burdocksill.readers.claims import KEEP_SECONDS, LEASE_SECONDS, Claim
 from burdocksill.readers.datagrams import Ask, Message, Offer, Signs, Update
@@ -73,7 +73,7 @@
     signs: SignExchange
     # Set while there is something to tell of upstreams.
     news: trio.Event = attrs.field(factory=trio.Event)
-    line: StateLine = attrs.field(factory=lambda: StateLine(logger=logger))
+    line: StateLogger = attrs.field(factory=lambda: StateLogger(logger=logger))
 
     async def receive(self) -> None:
         """Handle what other nodes send."""
@@ -165,7 +165,7 @@
     # The store's client makes one call at a time; a stop may come in between.
     lock: trio.Lock = attrs.field(factory=trio.Lock)
     stopped: bool = False
-    line: StateLine = attrs.field(factory=lambda: StateLine(logger=logger))
+    line: StateLogger = attrs.field(factory=lambda: StateLogger(logger=logger))
 
     async def run(self) -> None:
         """Offer and renew until the node stops."""
--- a/burdocksill/upstreams/client.py
+++ b/burdocksill/upstreams/client.py
@@ -11,7 +11,7 @@
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.network.protocols import Network
 from burdocksill.observe.counters import Counters
-from burdocksill.observe.lines import StateLine
+from burdocksill.observe.lines import StateLogger
 from burdocksill.requests.exceptions import RequestFailedError
 from burdocksill.requests.verdict import Reason, Verdict
 from burdocksill.upstreams.connection import UpstreamConnection
@@ -79,7 +79,7 @@
     connection: UpstreamConnection | None = None
     identity: Identity | None = None
     state: HealthState = HealthState.READY
-    line: StateLine = attrs.field(factory=lambda: StateLine(logger=logger))
+    line: StateLogger = attrs.field(factory=lambda: StateLogger(logger=logger))
 
     @property
     def connected(self) -> bool:
--- a/tests/steps/observe_lines.py
+++ b/tests/steps/observe_lines.py
@@ -6,7 +6,7 @@
 from behave.runner import Context
 
 from burdocksill.documents.models import ServiceDocument
-from burdocksill.observe.lines import StateLine
+from burdocksill.observe.lines import StateLogger
 from burdocksill_lab.fakes.deterministic import run_seeded
 from burdocksill_lab.fakes.world import open_world
 
@@ -49,7 +49,7 @@
             running = await world.start_node('cz-a-entry-1', 'cz-a')
             await trio.sleep(1)
             owned = next(iter(running.node.owners.owned.values()))
-            owned.client.line = StateLine(logger=context.lines)
+            owned.client.line = StateLogger(logger=context.lines)
             await trio.sleep(OUTAGE_SECONDS)
             world.network.listeners[line.address] = listener
             await trio.sleep(10)
