--- a/burdocksill/observe/lines.py
+++ b/burdocksill/observe/lines.py
@@ -16,7 +16,7 @@
     logger: logging.Logger
     state: str = ''
 
-    def enter(
+    def log_change(
         self,
         state: str,
         *,
--- a/burdocksill/packets/reload.py
+++ b/burdocksill/packets/reload.py
@@ -44,13 +44,13 @@
         try:
             found = self.read()
         except (BurdocksillError, OSError) as error:
-            self.line.enter(
+            self.line.log_change(
                 'settings unreadable',
                 level=logging.WARNING,
                 cause=str(error),
             )
             return
-        self.line.enter('settings readable', level=logging.DEBUG)
+        self.line.log_change('settings readable', level=logging.DEBUG)
         if found != self.node.settings:
             await self.apply(found)
 
--- a/burdocksill/packets/store_probe.py
+++ b/burdocksill/packets/store_probe.py
@@ -67,7 +67,7 @@
     def tell(self, state: str) -> None:
         """Write down what was found, when it differs from before."""
         domains = ' '.join(sorted(self.isolation.others()))
-        self.line.enter(
+        self.line.log_change(
             state,
             domain=self.isolation.domain,
             suspected=domains,
--- a/burdocksill/packets/watcher.py
+++ b/burdocksill/packets/watcher.py
@@ -143,7 +143,7 @@
         else:
             found = await self.changes()
         self.pause = FIRST_PAUSE_SECONDS
-        self.line.enter('store followed', revision=str(found.revision))
+        self.line.log_change('store followed', revision=str(found.revision))
         self.read_gate.called(answered=True)
         if found.values:
             await trio.sleep(GATHER_SECONDS)
@@ -215,7 +215,7 @@
     def failed(self, error: BurdocksillError) -> None:
         """Write down that touch is lost; what is known stays in force."""
         self.store_cache.updater.mark_store_unavailable()
-        self.line.enter(
+        self.line.log_change(
             'store lost',
             level=logging.WARNING,
             revision=str(self.store_cache.revision),
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -107,7 +107,7 @@
     def take_offer(self, offer: Offer, sender: Address) -> None:
         """Ask a follower for what this reader can't read itself."""
         if self.subscription.wants(offer):
-            self.line.enter('follower asked', follower=str(sender))
+            self.line.log_change('follower asked', follower=str(sender))
             ask = self.subscription.ask_of(sender)
             self.socket.send(encode_ask(ask), sender)
 
@@ -144,7 +144,7 @@
         if asked is None:
             return False
         reader, ask = asked
-        self.line.enter('reader asked', reader=reader.name)
+        self.line.log_change('reader asked', reader=reader.name)
         self.socket.send(encode_ask(ask), reader.address)
         return True
 
@@ -179,13 +179,15 @@
                 # Nothing is lost: the lease runs on, or nobody holds one and
                 # each node reads the store by itself until the next try.
                 self.claim.failed()
-                self.line.enter(
+                self.line.log_change(
                     'lease call failed',
                     level=logging.WARNING,
                     cause=str(error),
                 )
             else:
-                self.line.enter('lease calls answered', level=logging.DEBUG)
+                self.line.log_change(
+                    'lease calls answered', level=logging.DEBUG
+                )
             self.claim.check()
             self.subscription.reads = self.claim.holds
             if began != self.claim.holds:
--- a/burdocksill/upstreams/client.py
+++ b/burdocksill/upstreams/client.py
@@ -105,7 +105,7 @@
                     wait = await self.hold_connection(nursery)
                 except (OSError, BurdocksillError, trio.TooSlowError) as error:
                     self.count('connections_failed')
-                    self.line.enter(
+                    self.line.log_change(
                         'upstream unreachable',
                         level=logging.WARNING,
                         upstream=self.upstream.name,
@@ -133,7 +133,7 @@
             connection.close()
             raise
         self.connection = connection
-        self.line.enter('upstream connected', upstream=self.upstream.name)
+        self.line.log_change('upstream connected', upstream=self.upstream.name)
         self.count('connections_opened')
         await connection.retired.wait()
         self.connection = None
