--- a/burdocksill/packets/reload.py
+++ b/burdocksill/packets/reload.py
@@ -28,7 +28,9 @@
 
     read: Callable[[], PacketSettings]
     node: PacketNode
-    line: StateLogger = attrs.field(factory=lambda: StateLogger(logger=logger))
+    state_logger: StateLogger = attrs.field(
+        factory=lambda: StateLogger(logger=logger)
+    )
 
     async def run(self) -> None:
         """Look for changes until the node stops."""
@@ -44,13 +46,13 @@
         try:
             found = self.read()
         except (BurdocksillError, OSError) as error:
-            self.line.log_change(
+            self.state_logger.log_change(
                 'settings unreadable',
                 level=logging.WARNING,
                 cause=str(error),
             )
             return
-        self.line.log_change('settings readable', level=logging.DEBUG)
+        self.state_logger.log_change('settings readable', level=logging.DEBUG)
         if found != self.node.settings:
             await self.apply(found)
 
--- a/burdocksill/packets/store_probe.py
+++ b/burdocksill/packets/store_probe.py
@@ -29,7 +29,9 @@
     key: str
     clock: Clock
     wanted: trio.Event = attrs.field(factory=trio.Event)
-    line: StateLogger = attrs.field(factory=lambda: StateLogger(logger=logger))
+    state_logger: StateLogger = attrs.field(
+        factory=lambda: StateLogger(logger=logger)
+    )
 
     def suspect(self) -> None:
         """Ask soon."""
@@ -67,7 +69,7 @@
     def tell(self, state: str) -> None:
         """Write down what was found, when it differs from before."""
         domains = ' '.join(sorted(self.isolation.others()))
-        self.line.log_change(
+        self.state_logger.log_change(
             state,
             domain=self.isolation.domain,
             suspected=domains,
--- a/burdocksill/packets/watcher.py
+++ b/burdocksill/packets/watcher.py
@@ -101,11 +101,11 @@
     pause: float = FIRST_PAUSE_SECONDS
     # What the latest call took above its wait.
     call_seconds: float = LONGEST_MARGIN_SECONDS
-    line: StateLogger = attrs.field(init=False)
+    state_logger: StateLogger = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Prepare the line that tells of touch lost and regained."""
-        self.line = StateLogger(logger=logger)
+        self.state_logger = StateLogger(logger=logger)
 
     async def run(self) -> None:
         """Read, follow, and start over after each failure."""
@@ -143,7 +143,9 @@
         else:
             found = await self.changes()
         self.pause = FIRST_PAUSE_SECONDS
-        self.line.log_change('store followed', revision=str(found.revision))
+        self.state_logger.log_change(
+            'store followed', revision=str(found.revision)
+        )
         self.read_gate.called(answered=True)
         if found.values:
             await trio.sleep(GATHER_SECONDS)
@@ -215,7 +217,7 @@
     def failed(self, error: BurdocksillError) -> None:
         """Write down that touch is lost; what is known stays in force."""
         self.store_cache.updater.mark_store_unavailable()
-        self.line.log_change(
+        self.state_logger.log_change(
             'store lost',
             level=logging.WARNING,
             revision=str(self.store_cache.revision),
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -73,7 +73,9 @@
     signs: SignExchange
     # Set while there is something to tell of upstreams.
     news: trio.Event = attrs.field(factory=trio.Event)
-    line: StateLogger = attrs.field(factory=lambda: StateLogger(logger=logger))
+    state_logger: StateLogger = attrs.field(
+        factory=lambda: StateLogger(logger=logger)
+    )
 
     async def receive(self) -> None:
         """Handle what other nodes send."""
@@ -107,7 +109,7 @@
     def take_offer(self, offer: Offer, sender: Address) -> None:
         """Ask a follower for what this reader can't read itself."""
         if self.subscription.wants(offer):
-            self.line.log_change('follower asked', follower=str(sender))
+            self.state_logger.log_change('follower asked', follower=str(sender))
             ask = self.subscription.ask_of(sender)
             self.socket.send(encode_ask(ask), sender)
 
@@ -144,7 +146,7 @@
         if asked is None:
             return False
         reader, ask = asked
-        self.line.log_change('reader asked', reader=reader.name)
+        self.state_logger.log_change('reader asked', reader=reader.name)
         self.socket.send(encode_ask(ask), reader.address)
         return True
 
@@ -165,7 +167,9 @@
     # The store's client makes one call at a time; a stop may come in between.
     lock: trio.Lock = attrs.field(factory=trio.Lock)
     stopped: bool = False
-    line: StateLogger = attrs.field(factory=lambda: StateLogger(logger=logger))
+    state_logger: StateLogger = attrs.field(
+        factory=lambda: StateLogger(logger=logger)
+    )
 
     async def run(self) -> None:
         """Offer and renew until the node stops."""
@@ -179,13 +183,13 @@
                 # Nothing is lost: the lease runs on, or nobody holds one and
                 # each node reads the store by itself until the next try.
                 self.claim.failed()
-                self.line.log_change(
+                self.state_logger.log_change(
                     'lease call failed',
                     level=logging.WARNING,
                     cause=str(error),
                 )
             else:
-                self.line.log_change(
+                self.state_logger.log_change(
                     'lease calls answered', level=logging.DEBUG
                 )
             self.claim.check()
--- a/burdocksill/upstreams/client.py
+++ b/burdocksill/upstreams/client.py
@@ -79,7 +79,9 @@
     connection: UpstreamConnection | None = None
     identity: Identity | None = None
     state: HealthState = HealthState.READY
-    line: StateLogger = attrs.field(factory=lambda: StateLogger(logger=logger))
+    state_logger: StateLogger = attrs.field(
+        factory=lambda: StateLogger(logger=logger)
+    )
 
     @property
     def connected(self) -> bool:
@@ -105,7 +107,7 @@
                     wait = await self.hold_connection(nursery)
                 except (OSError, BurdocksillError, trio.TooSlowError) as error:
                     self.count('connections_failed')
-                    self.line.log_change(
+                    self.state_logger.log_change(
                         'upstream unreachable',
                         level=logging.WARNING,
                         upstream=self.upstream.name,
@@ -133,7 +135,9 @@
             connection.close()
             raise
         self.connection = connection
-        self.line.log_change('upstream connected', upstream=self.upstream.name)
+        self.state_logger.log_change(
+            'upstream connected', upstream=self.upstream.name
+        )
         self.count('connections_opened')
         await connection.retired.wait()
         self.connection = None
--- a/tests/steps/observe_lines.py
+++ b/tests/steps/observe_lines.py
@@ -49,7 +49,7 @@
             running = await world.start_node('cz-a-entry-1', 'cz-a')
             await trio.sleep(1)
             owned = next(iter(running.node.owners.owned.values()))
-            owned.client.line = StateLogger(logger=context.lines)
+            owned.client.state_logger = StateLogger(logger=context.lines)
             await trio.sleep(OUTAGE_SECONDS)
             world.network.listeners[line.address] = listener
             await trio.sleep(10)
