--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -10,8 +10,8 @@
 from burdocksill.conf.settings import Settings
 from burdocksill.documents.models import ServiceDocument, Upstream
 from burdocksill.documents.store import DocumentStore
+from burdocksill.entry.components import Guards
 from burdocksill.entry.fleet import Fleet
-from burdocksill.entry.guards import Guards
 from burdocksill.entry.router import Router
 from burdocksill.entry.upstreams import UpstreamBuilder
 from burdocksill.flows.cookie import EPOCH_BYTES, SignedCookieSealer
--- a/burdocksill/entry/upstreams.py
+++ b/burdocksill/entry/upstreams.py
@@ -5,7 +5,7 @@
 import attrs
 
 from burdocksill.documents.models import ServiceDocument, Upstream
-from burdocksill.entry.guards import Guards
+from burdocksill.entry.components import Guards
 from burdocksill.flows.cookie import COOKIE_LIFETIME_SECONDS
 from burdocksill.membership.protocols import MemberView
 from burdocksill.network.protocols import Network
--- a/burdocksill_lab/fakes/world.py
+++ b/burdocksill_lab/fakes/world.py
@@ -12,7 +12,7 @@
 from burdocksill.conf.settings import Settings
 from burdocksill.documents.acceptance import put_document
 from burdocksill.documents.models import ServiceDocument, Upstream
-from burdocksill.entry.guards import Guards
+from burdocksill.entry.components import Guards
 from burdocksill.entry.node import EntryNode
 from burdocksill.flows.keys import KeyRing, encode_ring, rotate
 from burdocksill.network.protocols import Address
--- a/burdocksill_lab/measure_upstreams/variants.py
+++ b/burdocksill_lab/measure_upstreams/variants.py
@@ -7,7 +7,7 @@
 
 from burdocksill.documents.models import Upstream
 from burdocksill.documents.store import DocumentStore
-from burdocksill.entry.guards import Guards
+from burdocksill.entry.components import Guards
 from burdocksill.flows.placement import Placer, RandomPlacer
 from burdocksill.membership.protocols import MemberView
 from burdocksill.requests.retries import UnlimitedBudget
--- a/burdocksill_lab/proofs/at_most_once.py
+++ b/burdocksill_lab/proofs/at_most_once.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from burdocksill.entry.guards import Guards
+from burdocksill.entry.components import Guards
 from burdocksill.ownership.foreign import EagerForeignRule
 from burdocksill.requests.window import ForgetfulWindow
 from burdocksill_lab.proofs.accounts import Books, check_once
--- a/burdocksill_lab/proofs/cold_start.py
+++ b/burdocksill_lab/proofs/cold_start.py
@@ -7,7 +7,7 @@
 import trio
 
 from burdocksill.documents.models import ServiceDocument, Upstream
-from burdocksill.entry.guards import Guards
+from burdocksill.entry.components import Guards
 from burdocksill.requests.verdict import Verdict
 from burdocksill.upstreams.limits import FixedLimiter
 from burdocksill.upstreams.protocols import Limiter
--- a/burdocksill_lab/proofs/combined.py
+++ b/burdocksill_lab/proofs/combined.py
@@ -15,7 +15,7 @@
     Upstream,
 )
 from burdocksill.documents.store import LastWriterRule
-from burdocksill.entry.guards import Guards
+from burdocksill.entry.components import Guards
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.ownership.foreign import EagerForeignRule
 from burdocksill.platform.keys import document_key
--- a/burdocksill_lab/proofs/document_in_force.py
+++ b/burdocksill_lab/proofs/document_in_force.py
@@ -10,7 +10,7 @@
 from burdocksill.documents.acceptance import put_document
 from burdocksill.documents.models import ServiceDocument, Upstream
 from burdocksill.documents.store import LastWriterRule
-from burdocksill.entry.guards import Guards
+from burdocksill.entry.components import Guards
 from burdocksill.flows.keys import KeyRing
 from burdocksill.network.protocols import Address
 from burdocksill.platform.keys import document_key
--- a/burdocksill_lab/proofs/domain_out.py
+++ b/burdocksill_lab/proofs/domain_out.py
@@ -14,7 +14,7 @@
     Upstream,
 )
 from burdocksill.documents.store import BlindDomainRule
-from burdocksill.entry.guards import Guards
+from burdocksill.entry.components import Guards
 from burdocksill.network.protocols import Address
 from burdocksill.peers.messages import MESSAGE_KINDS, RelayRequest
 from burdocksill_lab.fakes.deterministic import run_seeded
--- a/burdocksill_lab/proofs/flow_survives.py
+++ b/burdocksill_lab/proofs/flow_survives.py
@@ -8,7 +8,7 @@
 import attrs
 import trio
 
-from burdocksill.entry.guards import Guards
+from burdocksill.entry.components import Guards
 from burdocksill.ownership.succession import NoSuccession
 from burdocksill_lab.fakes.deterministic import run_seeded
 from burdocksill_lab.fakes.world import open_world
--- a/burdocksill_lab/proofs/graceful_stop.py
+++ b/burdocksill_lab/proofs/graceful_stop.py
@@ -8,7 +8,7 @@
 import attrs
 import trio
 
-from burdocksill.entry.guards import Guards
+from burdocksill.entry.components import Guards
 from burdocksill.entry.stopping import STOP_SECONDS, AbruptStopper
 from burdocksill_lab.fakes.deterministic import run_seeded
 from burdocksill_lab.fakes.world import open_world
--- a/burdocksill_lab/proofs/owner_trouble.py
+++ b/burdocksill_lab/proofs/owner_trouble.py
@@ -9,7 +9,7 @@
 import trio
 
 from burdocksill.documents.models import ServiceDocument
-from burdocksill.entry.guards import Guards
+from burdocksill.entry.components import Guards
 from burdocksill_lab.fakes.deterministic import run_seeded
 from burdocksill_lab.fakes.network import LinkFaults
 from burdocksill_lab.fakes.world import World, open_world
--- a/burdocksill_lab/proofs/service_isolation.py
+++ b/burdocksill_lab/proofs/service_isolation.py
@@ -11,7 +11,7 @@
 from burdocksill.callers.exceptions import CallFailedError
 from burdocksill.callers.session import Session, open_session
 from burdocksill.documents.models import ServiceDocument, Upstream
-from burdocksill.entry.guards import Guards
+from burdocksill.entry.components import Guards
 from burdocksill.network.protocols import Address
 from burdocksill.requests.messages import Answer
 from burdocksill.upstreams.messages import Identity
--- a/burdocksill_lab/proofs/upstream_leaving.py
+++ b/burdocksill_lab/proofs/upstream_leaving.py
@@ -6,7 +6,7 @@
 import trio
 
 from burdocksill.documents.models import ServiceDocument, Upstream
-from burdocksill.entry.guards import Guards
+from burdocksill.entry.components import Guards
 from burdocksill.platform.protocols import VmRecord, VmState
 from burdocksill.requests.verdict import Verdict
 from burdocksill.upstreams.departures import NeverLeaving
--- a/burdocksill_lab/proofs/whole_answer.py
+++ b/burdocksill_lab/proofs/whole_answer.py
@@ -9,7 +9,7 @@
 from burdocksill.callers.exceptions import CallFailedError
 from burdocksill.callers.session import Session
 from burdocksill.documents.models import ServiceDocument
-from burdocksill.entry.guards import Guards
+from burdocksill.entry.components import Guards
 from burdocksill.requests.blocks import RerunAnswers
 from burdocksill.requests.messages import Answer
 from burdocksill.requests.verdict import Verdict
--- a/tests/steps/entry_containment.py
+++ b/tests/steps/entry_containment.py
@@ -11,7 +11,7 @@
 from burdocksill.callers.session import Session
 from burdocksill.documents.models import ServiceDocument
 from burdocksill.documents.store import DocumentStore
-from burdocksill.entry.guards import Guards, two_choices
+from burdocksill.entry.components import Guards, two_choices
 from burdocksill.flows.cookie import Cookie, address_tag, name_tag
 from burdocksill.flows.placement import Placer
 from burdocksill.membership.protocols import Member, MemberView
