--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -75,7 +75,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Guards:
+class Components:
     """Hold what stands between a fault and a broken promise.
 
     The lab's control runs put a naive baseline in the place of one guard and
--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -10,7 +10,7 @@
 from burdocksill.conf.settings import Settings
 from burdocksill.documents.models import ServiceDocument, Upstream
 from burdocksill.documents.store import DocumentStore
-from burdocksill.entry.components import Guards
+from burdocksill.entry.components import Components
 from burdocksill.entry.fleet import Fleet
 from burdocksill.entry.router import Router
 from burdocksill.entry.upstreams import UpstreamBuilder
@@ -51,7 +51,7 @@
     rng: Random = attrs.field(factory=Random)
     counters: Counters = attrs.field(factory=Counters)
     keys: KeyHolder = attrs.field(factory=KeyHolder)
-    guards: Guards = attrs.field(factory=Guards)
+    guards: Components = attrs.field(factory=Components)
     store: DocumentStore = attrs.field(init=False)
     fleet: Fleet = attrs.field(init=False)
     membership: SwimMembership = attrs.field(init=False)
--- a/burdocksill/entry/upstreams.py
+++ b/burdocksill/entry/upstreams.py
@@ -5,7 +5,7 @@
 import attrs
 
 from burdocksill.documents.models import ServiceDocument, Upstream
-from burdocksill.entry.components import Guards
+from burdocksill.entry.components import Components
 from burdocksill.flows.cookie import COOKIE_LIFETIME_SECONDS
 from burdocksill.membership.protocols import MemberView
 from burdocksill.network.protocols import Network
@@ -32,7 +32,7 @@
     """Make the parts of owned upstreams; a service shares its budget."""
 
     network: Network
-    guards: Guards
+    guards: Components
     members: MemberView
     counters: Counters
     rng: Random
--- a/burdocksill_lab/fakes/world.py
+++ b/burdocksill_lab/fakes/world.py
@@ -12,7 +12,7 @@
 from burdocksill.conf.settings import Settings
 from burdocksill.documents.acceptance import put_document
 from burdocksill.documents.models import ServiceDocument, Upstream
-from burdocksill.entry.components import Guards
+from burdocksill.entry.components import Components
 from burdocksill.entry.node import EntryNode
 from burdocksill.flows.keys import KeyRing, encode_ring, rotate
 from burdocksill.network.protocols import Address
@@ -53,7 +53,7 @@
     """Hold the fakes, the nodes and the upstreams of one story."""
 
     seed: int
-    guards: Guards = attrs.field(factory=Guards)
+    guards: Components = attrs.field(factory=Components)
     rng: Random = attrs.field(init=False)
     network: FakeNetwork = attrs.field(init=False)
     platform: MemoryPlatform = attrs.field(factory=MemoryPlatform)
@@ -252,10 +252,10 @@
 async def open_world(
     seed: int,
     *,
-    guards: Guards | None = None,
+    guards: Components | None = None,
 ) -> AsyncGenerator[World, None]:
     """Open a world with fleet keys in the platform; end it with the block."""
-    world = World(seed=seed, guards=guards or Guards())
+    world = World(seed=seed, guards=guards or Components())
     world.platform.put(keys.FLEET_KEYS, encode_ring(rotate(None)))
     async with trio.open_nursery() as nursery:
         world.nursery = nursery
--- a/burdocksill_lab/measure_upstreams/variants.py
+++ b/burdocksill_lab/measure_upstreams/variants.py
@@ -7,7 +7,7 @@
 
 from burdocksill.documents.models import Upstream
 from burdocksill.documents.store import DocumentStore
-from burdocksill.entry.components import Guards
+from burdocksill.entry.components import Components
 from burdocksill.flows.placement import Placer, RandomPlacer
 from burdocksill.membership.protocols import MemberView
 from burdocksill.requests.retries import UnlimitedBudget
@@ -36,26 +36,26 @@
     """Name a set of guards and how callers of it behave."""
 
     name: str
-    guards: Guards
+    guards: Components
     patient: bool = True
 
 
-PRODUCT: Final = Variant(name='product', guards=Guards())
+PRODUCT: Final = Variant(name='product', guards=Components())
 RANDOM_PLACEMENT: Final = Variant(
     name='random-placement',
-    guards=Guards(placer=place_at_random),
+    guards=Components(placer=place_at_random),
 )
 NO_RAMP: Final = Variant(
     name='no-ramp',
-    guards=Guards(limiter=give_all_slots),
+    guards=Components(limiter=give_all_slots),
 )
 NO_BUDGET: Final = Variant(
     name='no-budget',
-    guards=Guards(retry_budget=UnlimitedBudget),
+    guards=Components(retry_budget=UnlimitedBudget),
     patient=False,
 )
 NO_BUDGET_NO_RAMP: Final = Variant(
     name='no-budget-no-ramp',
-    guards=Guards(retry_budget=UnlimitedBudget, limiter=give_all_slots),
+    guards=Components(retry_budget=UnlimitedBudget, limiter=give_all_slots),
     patient=False,
 )
--- a/burdocksill_lab/proofs/at_most_once.py
+++ b/burdocksill_lab/proofs/at_most_once.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from burdocksill.entry.components import Guards
+from burdocksill.entry.components import Components
 from burdocksill.ownership.foreign import EagerForeignRule
 from burdocksill.requests.window import ForgetfulWindow
 from burdocksill_lab.proofs.accounts import Books, check_once
@@ -20,9 +20,11 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control forgets tokens and runs everything."""
-        guards = Guards()
+        guards = Components()
         if control:
-            guards = Guards(window=ForgetfulWindow, foreign=EagerForeignRule)
+            guards = Components(
+                window=ForgetfulWindow, foreign=EagerForeignRule
+            )
         books = Books()
         ran = run_story(Plan(seed=seed, guards=guards), books)
         return ProofResult(
--- a/burdocksill_lab/proofs/cold_start.py
+++ b/burdocksill_lab/proofs/cold_start.py
@@ -7,7 +7,7 @@
 import trio
 
 from burdocksill.documents.models import ServiceDocument, Upstream
-from burdocksill.entry.components import Guards
+from burdocksill.entry.components import Components
 from burdocksill.requests.verdict import Verdict
 from burdocksill.upstreams.limits import FixedLimiter
 from burdocksill.upstreams.protocols import Limiter
@@ -163,9 +163,9 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control gives all slots at once."""
-        guards = Guards()
+        guards = Components()
         if control:
-            guards = Guards(limiter=all_slots_at_once)
+            guards = Components(limiter=all_slots_at_once)
 
         async def story() -> ProofResult:
             async with open_world(seed, guards=guards) as world:
--- a/burdocksill_lab/proofs/combined.py
+++ b/burdocksill_lab/proofs/combined.py
@@ -15,7 +15,7 @@
     Upstream,
 )
 from burdocksill.documents.store import LastWriterRule
-from burdocksill.entry.components import Guards
+from burdocksill.entry.components import Components
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.ownership.foreign import EagerForeignRule
 from burdocksill.platform.keys import document_key
@@ -265,7 +265,7 @@
                 self.fail(f'{name} has {found}, not {self.revision}')
 
 
-async def story(seed: int, guards: Guards, books: Books) -> CombinedStory:
+async def story(seed: int, guards: Components, books: Books) -> CombinedStory:
     """Run one story and check the callers' accounts."""
     async with open_world(seed, guards=guards) as world:
         run = CombinedStory(world=world, books=books, rng=Random(seed))
@@ -288,9 +288,9 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run one seed; the control has no window and no revision rule."""
-        guards = Guards()
+        guards = Components()
         if control:
-            guards = Guards(
+            guards = Components(
                 window=ForgetfulWindow,
                 foreign=EagerForeignRule,
                 revision_rule=LastWriterRule,
--- a/burdocksill_lab/proofs/document_in_force.py
+++ b/burdocksill_lab/proofs/document_in_force.py
@@ -10,7 +10,7 @@
 from burdocksill.documents.acceptance import put_document
 from burdocksill.documents.models import ServiceDocument, Upstream
 from burdocksill.documents.store import LastWriterRule
-from burdocksill.entry.components import Guards
+from burdocksill.entry.components import Components
 from burdocksill.flows.keys import KeyRing
 from burdocksill.network.protocols import Address
 from burdocksill.platform.keys import document_key
@@ -256,7 +256,11 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control lets the last writer win."""
-        guards = Guards(revision_rule=LastWriterRule) if control else Guards()
+        guards = (
+            Components(revision_rule=LastWriterRule)
+            if control
+            else Components()
+        )
 
         async def main() -> ProofResult:
             async with open_world(seed, guards=guards) as world:
--- a/burdocksill_lab/proofs/domain_out.py
+++ b/burdocksill_lab/proofs/domain_out.py
@@ -14,7 +14,7 @@
     Upstream,
 )
 from burdocksill.documents.store import BlindDomainRule
-from burdocksill.entry.components import Guards
+from burdocksill.entry.components import Components
 from burdocksill.network.protocols import Address
 from burdocksill.peers.messages import MESSAGE_KINDS, RelayRequest
 from burdocksill_lab.fakes.deterministic import run_seeded
@@ -245,7 +245,7 @@
             self.fail('the domain gets no work after its return')
 
 
-async def story(seed: int, guards: Guards, books: Books) -> DomainStory:
+async def story(seed: int, guards: Components, books: Books) -> DomainStory:
     """Run one story and check the callers' accounts."""
     async with open_world(seed, guards=guards) as world:
         run = DomainStory(world=world, books=books, rng=Random(seed))
@@ -272,7 +272,9 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control passes over the operators' word."""
-        guards = Guards(domain_rule=BlindDomainRule) if control else Guards()
+        guards = (
+            Components(domain_rule=BlindDomainRule) if control else Components()
+        )
         books = Books()
         ended = run_seeded(seed, partial(story, seed, guards, books))
         return ProofResult(
--- a/burdocksill_lab/proofs/flow_survives.py
+++ b/burdocksill_lab/proofs/flow_survives.py
@@ -8,7 +8,7 @@
 import attrs
 import trio
 
-from burdocksill.entry.components import Guards
+from burdocksill.entry.components import Components
 from burdocksill.ownership.succession import NoSuccession
 from burdocksill_lab.fakes.deterministic import run_seeded
 from burdocksill_lab.fakes.world import open_world
@@ -26,7 +26,7 @@
 LONG_SILENCE_SECONDS: Final = 700.0
 
 
-async def story(seed: int, guards: Guards, books: Books) -> Counter[bytes]:
+async def story(seed: int, guards: Components, books: Books) -> Counter[bytes]:
     """Change everything that operators may change under open sessions."""
     async with open_world(seed, guards=guards) as world:
         fleet = Fleet(world=world, books=books, rng=Random(seed))
@@ -63,7 +63,9 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control hands over to nobody."""
-        guards = Guards(succession=NoSuccession) if control else Guards()
+        guards = (
+            Components(succession=NoSuccession) if control else Components()
+        )
         books = Books()
         ran = run_seeded(seed, partial(story, seed, guards, books))
         return ProofResult(
--- a/burdocksill_lab/proofs/graceful_stop.py
+++ b/burdocksill_lab/proofs/graceful_stop.py
@@ -8,7 +8,7 @@
 import attrs
 import trio
 
-from burdocksill.entry.components import Guards
+from burdocksill.entry.components import Components
 from burdocksill.entry.stopping import STOP_SECONDS, AbruptStopper
 from burdocksill_lab.fakes.deterministic import run_seeded
 from burdocksill_lab.fakes.world import open_world
@@ -25,7 +25,7 @@
 WORK_SECONDS: Final = 1.5
 
 
-async def story(seed: int, guards: Guards, books: Books) -> Counter[bytes]:
+async def story(seed: int, guards: Components, books: Books) -> Counter[bytes]:
     """Stop each VM in turn while requests are in progress."""
     async with open_world(seed, guards=guards) as world:
         fleet = Fleet(world=world, books=books, rng=Random(seed))
@@ -66,7 +66,7 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control ends each VM at once."""
-        guards = Guards(stopper=AbruptStopper) if control else Guards()
+        guards = Components(stopper=AbruptStopper) if control else Components()
         books = Books()
         ran = run_seeded(seed, partial(story, seed, guards, books))
         return ProofResult(
--- a/burdocksill_lab/proofs/owner_trouble.py
+++ b/burdocksill_lab/proofs/owner_trouble.py
@@ -9,7 +9,7 @@
 import trio
 
 from burdocksill.documents.models import ServiceDocument
-from burdocksill.entry.components import Guards
+from burdocksill.entry.components import Components
 from burdocksill_lab.fakes.deterministic import run_seeded
 from burdocksill_lab.fakes.network import LinkFaults
 from burdocksill_lab.fakes.world import World, open_world
@@ -161,7 +161,7 @@
     """Say what a story does: which guards, faults and work."""
 
     seed: int
-    guards: Guards
+    guards: Components
     # Names of methods of Trouble; a seed picks two of them.
     faults: tuple[str, ...] = ALL_FAULTS
     work_seconds: float = DEFAULT_WORK_SECONDS
--- a/burdocksill_lab/proofs/refused_not_run.py
+++ b/burdocksill_lab/proofs/refused_not_run.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from burdocksill.entry.components import Guards
+from burdocksill.entry.components import Components
 from burdocksill.ownership.foreign import HastyForeignRule
 from burdocksill_lab.proofs.accounts import Books, check_honest
 from burdocksill_lab.proofs.base import ProofResult
@@ -28,11 +28,11 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control says "not run" for a lost holder."""
-        plan = Plan(seed=seed, guards=Guards(), work_seconds=WORK_SECONDS)
+        plan = Plan(seed=seed, guards=Components(), work_seconds=WORK_SECONDS)
         if control:
             plan = attrs.evolve(
                 plan,
-                guards=Guards(foreign=HastyForeignRule),
+                guards=Components(foreign=HastyForeignRule),
                 faults=CONTROL_FAULTS,
                 work_seconds=CONTROL_WORK_SECONDS,
                 lead_seconds=CONTROL_LEAD_SECONDS,
--- a/burdocksill_lab/proofs/service_isolation.py
+++ b/burdocksill_lab/proofs/service_isolation.py
@@ -11,7 +11,7 @@
 from burdocksill.callers.exceptions import CallFailedError
 from burdocksill.callers.session import Session, open_session
 from burdocksill.documents.models import ServiceDocument, Upstream
-from burdocksill.entry.components import Guards
+from burdocksill.entry.components import Components
 from burdocksill.network.protocols import Address
 from burdocksill.requests.messages import Answer
 from burdocksill.upstreams.messages import Identity
@@ -194,7 +194,9 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; a control trusts whoever answers at an address."""
-        guards = Guards(verifier=AnybodyVerifier) if control else Guards()
+        guards = (
+            Components(verifier=AnybodyVerifier) if control else Components()
+        )
 
         async def main() -> Story:
             async with open_world(seed, guards=guards) as world:
--- a/burdocksill_lab/proofs/upstream_leaving.py
+++ b/burdocksill_lab/proofs/upstream_leaving.py
@@ -6,7 +6,7 @@
 import trio
 
 from burdocksill.documents.models import ServiceDocument, Upstream
-from burdocksill.entry.components import Guards
+from burdocksill.entry.components import Components
 from burdocksill.platform.protocols import VmRecord, VmState
 from burdocksill.requests.verdict import Verdict
 from burdocksill.upstreams.departures import NeverLeaving
@@ -154,9 +154,9 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control takes no notice of who leaves."""
-        guards = Guards()
+        guards = Components()
         if control:
-            guards = Guards(
+            guards = Components(
                 leaving_rule=lambda store: NeverLeaving(store=store),
             )
 
--- a/burdocksill_lab/proofs/whole_answer.py
+++ b/burdocksill_lab/proofs/whole_answer.py
@@ -9,7 +9,7 @@
 from burdocksill.callers.exceptions import CallFailedError
 from burdocksill.callers.session import Session
 from burdocksill.documents.models import ServiceDocument
-from burdocksill.entry.components import Guards
+from burdocksill.entry.components import Components
 from burdocksill.requests.blocks import RerunAnswers
 from burdocksill.requests.messages import Answer
 from burdocksill.requests.verdict import Verdict
@@ -174,7 +174,7 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; a control runs a request for each block."""
-        guards = Guards(answers=rerun_answers) if control else Guards()
+        guards = Components(answers=rerun_answers) if control else Components()
 
         async def main() -> Story:
             async with open_world(seed, guards=guards) as world:
--- a/tests/steps/entry_containment.py
+++ b/tests/steps/entry_containment.py
@@ -11,7 +11,7 @@
 from burdocksill.callers.session import Session
 from burdocksill.documents.models import ServiceDocument
 from burdocksill.documents.store import DocumentStore
-from burdocksill.entry.components import Guards, two_choices
+from burdocksill.entry.components import Components, two_choices
 from burdocksill.flows.cookie import Cookie, address_tag, name_tag
 from burdocksill.flows.placement import Placer
 from burdocksill.membership.protocols import Member, MemberView
@@ -157,7 +157,7 @@
 @given('a contained entry VM that always takes another for the owner')
 def plan_circle(context: Context) -> None:
     """Swap the placer."""
-    context.guards = Guards(placer=circling)
+    context.guards = Components(placer=circling)
 
 
 @when('a caller posts to it with a cookie of an unknown owner')
