--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -51,7 +51,7 @@
     rng: Random = attrs.field(factory=Random)
     counters: Counters = attrs.field(factory=Counters)
     keys: KeyHolder = attrs.field(factory=KeyHolder)
-    guards: Components = attrs.field(factory=Components)
+    components: Components = attrs.field(factory=Components)
     store: DocumentStore = attrs.field(init=False)
     fleet: Fleet = attrs.field(init=False)
     membership: SwimMembership = attrs.field(init=False)
@@ -70,8 +70,8 @@
     def __attrs_post_init__(self) -> None:
         """Prepare what needs no task."""
         self.store = DocumentStore(
-            rule=self.guards.revision_rule(),
-            domain_rule=self.guards.domain_rule(),
+            rule=self.components.revision_rule(),
+            domain_rule=self.components.domain_rule(),
         )
         self.fleet = Fleet(
             settings=self.settings,
@@ -84,7 +84,7 @@
             sleep=self.sleep,
             seeds=self.seeds,
         )
-        self.leaving_rule = self.guards.leaving_rule(self.store)
+        self.leaving_rule = self.components.leaving_rule(self.store)
         self.membership = self.fleet.membership
 
     async def run(self) -> None:
@@ -97,7 +97,7 @@
 
     async def stop(self) -> None:
         """Stop as planned; `run` returns when it is done."""
-        await self.guards.stopper().stop(
+        await self.components.stopper().stop(
             leave=self.membership.leave,
             hand_over=self.hand_over,
         )
@@ -121,8 +121,8 @@
             nursery=nursery,
             build=self.build_owned,
             peers=channel,
-            make_window=self.guards.window,
-            succession=self.guards.succession(),
+            make_window=self.components.window,
+            succession=self.components.succession(),
         )
         self.hints = HintBook(own=self.owners.hints)
         self.fleet.hints.source = self.hints
@@ -131,7 +131,7 @@
             members=self.membership,
             store=self.store,
             sealer=SignedCookieSealer(keys=self.keys, clock=self.clock),
-            placer=self.guards.placer(
+            placer=self.components.placer(
                 self.membership,
                 self.store,
                 self.rng,
@@ -141,22 +141,22 @@
             channel=channel,
             socket=await self.network.open_datagrams(self.settings.listen),
             clock=self.clock,
-            foreign=self.guards.foreign(),
-            transfers=self.guards.transfers(self.rng),
+            foreign=self.components.foreign(),
+            transfers=self.components.transfers(self.rng),
             counters=self.counters,
             nursery=nursery,
             trace_ratio=self.settings.trace_ratio,
         )
         self.builder = UpstreamBuilder(
             network=self.network,
-            guards=self.guards,
+            components=self.components,
             members=self.membership,
             counters=self.counters,
             rng=self.rng,
             leaving_rule=self.leaving_rule,
             elsewhere=self.router.move,
         )
-        self.fence = self.guards.fence(self.membership)
+        self.fence = self.components.fence(self.membership)
         self.route_messages(channel)
         nursery.start_soon(self.fence.run)
         nursery.start_soon(self.owners.run)
@@ -185,7 +185,7 @@
     ) -> OwnedUpstream:
         """Make what this VM holds for an upstream it owns."""
         epochs = EpochHolder(
-            make_window=self.guards.window,
+            make_window=self.components.window,
             make_epoch=partial(self.rng.randbytes, EPOCH_BYTES),
         )
         parts = self.builder.build(document, upstream)
@@ -209,6 +209,6 @@
             admission=parts.admission,
             counters=self.counters,
             fence=self.fence,
-            foreign=self.guards.foreign(),
+            foreign=self.components.foreign(),
             link=self.router,
         )
--- a/burdocksill/entry/upstreams.py
+++ b/burdocksill/entry/upstreams.py
@@ -32,7 +32,7 @@
     """Make the parts of owned upstreams; a service shares its budget."""
 
     network: Network
-    guards: Components
+    components: Components
     members: MemberView
     counters: Counters
     rng: Random
@@ -46,14 +46,14 @@
         upstream: Upstream,
     ) -> UpstreamParts:
         """Make the parts of one upstream, cold and not connected yet."""
-        limiter = self.guards.limiter(upstream, self.rng)
+        limiter = self.components.limiter(upstream, self.rng)
         client = VerifiedClient(
             service=document.service,
             upstream=upstream,
             network=self.network,
             limiter=limiter,
             counters=self.counters,
-            verifier=self.guards.verifier(),
+            verifier=self.components.verifier(),
         )
         admission = Admission(
             service=document.service,
@@ -75,5 +75,5 @@
     def budget(self, service: str) -> RetryBudget:
         """Return the retry budget that a service's upstreams here share."""
         if service not in self.budgets:
-            self.budgets[service] = self.guards.retry_budget()
+            self.budgets[service] = self.components.retry_budget()
         return self.budgets[service]
--- a/burdocksill_lab/fakes/world.py
+++ b/burdocksill_lab/fakes/world.py
@@ -53,7 +53,7 @@
     """Hold the fakes, the nodes and the upstreams of one story."""
 
     seed: int
-    guards: Components = attrs.field(factory=Components)
+    components: Components = attrs.field(factory=Components)
     rng: Random = attrs.field(init=False)
     network: FakeNetwork = attrs.field(init=False)
     platform: MemoryPlatform = attrs.field(factory=MemoryPlatform)
@@ -157,7 +157,7 @@
             ),
             clock=VirtualClock(offset=clock_offset),
             rng=Random(self.rng.random()),
-            guards=self.guards,
+            components=self.components,
             sleep=host.sleep,
         )
 
@@ -252,10 +252,10 @@
 async def open_world(
     seed: int,
     *,
-    guards: Components | None = None,
+    components: Components | None = None,
 ) -> AsyncGenerator[World, None]:
     """Open a world with fleet keys in the platform; end it with the block."""
-    world = World(seed=seed, guards=guards or Components())
+    world = World(seed=seed, components=components or Components())
     world.platform.put(keys.FLEET_KEYS, encode_ring(rotate(None)))
     async with trio.open_nursery() as nursery:
         world.nursery = nursery
--- a/burdocksill_lab/measure_upstreams/stories.py
+++ b/burdocksill_lab/measure_upstreams/stories.py
@@ -87,7 +87,7 @@
     """Run one story on the virtual clock."""
 
     async def main() -> list[Figure]:
-        async with open_world(seed, guards=variant.guards) as world:
+        async with open_world(seed, components=variant.components) as world:
             running = await start_deployment(world, deployment)
             measurement = Measurement(
                 running=running,
--- a/burdocksill_lab/measure_upstreams/variants.py
+++ b/burdocksill_lab/measure_upstreams/variants.py
@@ -36,26 +36,26 @@
     """Name a set of guards and how callers of it behave."""
 
     name: str
-    guards: Components
+    components: Components
     patient: bool = True
 
 
-PRODUCT: Final = Variant(name='product', guards=Components())
+PRODUCT: Final = Variant(name='product', components=Components())
 RANDOM_PLACEMENT: Final = Variant(
     name='random-placement',
-    guards=Components(placer=place_at_random),
+    components=Components(placer=place_at_random),
 )
 NO_RAMP: Final = Variant(
     name='no-ramp',
-    guards=Components(limiter=give_all_slots),
+    components=Components(limiter=give_all_slots),
 )
 NO_BUDGET: Final = Variant(
     name='no-budget',
-    guards=Components(retry_budget=UnlimitedBudget),
+    components=Components(retry_budget=UnlimitedBudget),
     patient=False,
 )
 NO_BUDGET_NO_RAMP: Final = Variant(
     name='no-budget-no-ramp',
-    guards=Components(retry_budget=UnlimitedBudget, limiter=give_all_slots),
+    components=Components(retry_budget=UnlimitedBudget, limiter=give_all_slots),
     patient=False,
 )
--- a/burdocksill_lab/proofs/at_most_once.py
+++ b/burdocksill_lab/proofs/at_most_once.py
@@ -20,13 +20,13 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control forgets tokens and runs everything."""
-        guards = Components()
+        components = Components()
         if control:
-            guards = Components(
+            components = Components(
                 window=ForgetfulWindow, foreign=EagerForeignRule
             )
         books = Books()
-        ran = run_story(Plan(seed=seed, guards=guards), books)
+        ran = run_story(Plan(seed=seed, components=components), books)
         return ProofResult(
             violation=check_once(books, ran),
             trace=tuple(books.trace),
--- a/burdocksill_lab/proofs/cold_start.py
+++ b/burdocksill_lab/proofs/cold_start.py
@@ -163,12 +163,12 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control gives all slots at once."""
-        guards = Components()
+        components = Components()
         if control:
-            guards = Components(limiter=all_slots_at_once)
+            components = Components(limiter=all_slots_at_once)
 
         async def story() -> ProofResult:
-            async with open_world(seed, guards=guards) as world:
+            async with open_world(seed, components=components) as world:
                 told = ColdStartStory(world=world)
                 await told.run()
                 return judge(told)
--- a/burdocksill_lab/proofs/combined.py
+++ b/burdocksill_lab/proofs/combined.py
@@ -265,9 +265,11 @@
                 self.fail(f'{name} has {found}, not {self.revision}')
 
 
-async def story(seed: int, guards: Components, books: Books) -> CombinedStory:
+async def story(
+    seed: int, components: Components, books: Books
+) -> CombinedStory:
     """Run one story and check the callers' accounts."""
-    async with open_world(seed, guards=guards) as world:
+    async with open_world(seed, components=components) as world:
         run = CombinedStory(world=world, books=books, rng=Random(seed))
         await run.run()
         ran = runs(
@@ -288,15 +290,15 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run one seed; the control has no window and no revision rule."""
-        guards = Components()
+        components = Components()
         if control:
-            guards = Components(
+            components = Components(
                 window=ForgetfulWindow,
                 foreign=EagerForeignRule,
                 revision_rule=LastWriterRule,
             )
         books = Books()
-        ended = run_seeded(seed, partial(story, seed, guards, books))
+        ended = run_seeded(seed, partial(story, seed, components, books))
         return ProofResult(
             violation=ended.violation,
             trace=tuple(books.trace),
--- a/burdocksill_lab/proofs/document_in_force.py
+++ b/burdocksill_lab/proofs/document_in_force.py
@@ -256,14 +256,14 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control lets the last writer win."""
-        guards = (
+        components = (
             Components(revision_rule=LastWriterRule)
             if control
             else Components()
         )
 
         async def main() -> ProofResult:
-            async with open_world(seed, guards=guards) as world:
+            async with open_world(seed, components=components) as world:
                 story = InForceStory(world=world, rng=Random(seed))
                 await story.run()
             return ProofResult(
--- a/burdocksill_lab/proofs/domain_out.py
+++ b/burdocksill_lab/proofs/domain_out.py
@@ -245,9 +245,9 @@
             self.fail('the domain gets no work after its return')
 
 
-async def story(seed: int, guards: Components, books: Books) -> DomainStory:
+async def story(seed: int, components: Components, books: Books) -> DomainStory:
     """Run one story and check the callers' accounts."""
-    async with open_world(seed, guards=guards) as world:
+    async with open_world(seed, components=components) as world:
         run = DomainStory(world=world, books=books, rng=Random(seed))
         await run.run()
         ledgers = (
@@ -272,11 +272,11 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control passes over the operators' word."""
-        guards = (
+        components = (
             Components(domain_rule=BlindDomainRule) if control else Components()
         )
         books = Books()
-        ended = run_seeded(seed, partial(story, seed, guards, books))
+        ended = run_seeded(seed, partial(story, seed, components, books))
         return ProofResult(
             violation=ended.violation,
             trace=tuple(books.trace),
--- a/burdocksill_lab/proofs/flow_survives.py
+++ b/burdocksill_lab/proofs/flow_survives.py
@@ -26,9 +26,11 @@
 LONG_SILENCE_SECONDS: Final = 700.0
 
 
-async def story(seed: int, guards: Components, books: Books) -> Counter[bytes]:
+async def story(
+    seed: int, components: Components, books: Books
+) -> Counter[bytes]:
     """Change everything that operators may change under open sessions."""
-    async with open_world(seed, guards=guards) as world:
+    async with open_world(seed, components=components) as world:
         fleet = Fleet(world=world, books=books, rng=Random(seed))
         await fleet.start()
         over = trio.Event()
@@ -63,11 +65,11 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control hands over to nobody."""
-        guards = (
+        components = (
             Components(succession=NoSuccession) if control else Components()
         )
         books = Books()
-        ran = run_seeded(seed, partial(story, seed, guards, books))
+        ran = run_seeded(seed, partial(story, seed, components, books))
         return ProofResult(
             violation=check_all_done(books) or check_once(books, ran),
             trace=tuple(books.trace),
--- a/burdocksill_lab/proofs/graceful_stop.py
+++ b/burdocksill_lab/proofs/graceful_stop.py
@@ -25,9 +25,11 @@
 WORK_SECONDS: Final = 1.5
 
 
-async def story(seed: int, guards: Components, books: Books) -> Counter[bytes]:
+async def story(
+    seed: int, components: Components, books: Books
+) -> Counter[bytes]:
     """Stop each VM in turn while requests are in progress."""
-    async with open_world(seed, guards=guards) as world:
+    async with open_world(seed, components=components) as world:
         fleet = Fleet(world=world, books=books, rng=Random(seed))
         await fleet.start()
         for name in sorted(world.upstreams):
@@ -66,9 +68,11 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control ends each VM at once."""
-        guards = Components(stopper=AbruptStopper) if control else Components()
+        components = (
+            Components(stopper=AbruptStopper) if control else Components()
+        )
         books = Books()
-        ran = run_seeded(seed, partial(story, seed, guards, books))
+        ran = run_seeded(seed, partial(story, seed, components, books))
         return ProofResult(
             violation=(
                 check_all_done(books)
--- a/burdocksill_lab/proofs/owner_trouble.py
+++ b/burdocksill_lab/proofs/owner_trouble.py
@@ -161,7 +161,7 @@
     """Say what a story does: which guards, faults and work."""
 
     seed: int
-    guards: Components
+    components: Components
     # Names of methods of Trouble; a seed picks two of them.
     faults: tuple[str, ...] = ALL_FAULTS
     work_seconds: float = DEFAULT_WORK_SECONDS
@@ -171,7 +171,7 @@
 
 async def story(plan: Plan, books: Books) -> dict[str, list[bytes]]:
     """Run callers through faults; return each upstream's ledger."""
-    async with open_world(plan.seed, guards=plan.guards) as world:
+    async with open_world(plan.seed, components=plan.components) as world:
         await start_fleet(world)
         world.upstreams[UPSTREAM].work_seconds = plan.work_seconds
         world.network.faults = FAULTS
--- a/burdocksill_lab/proofs/refused_not_run.py
+++ b/burdocksill_lab/proofs/refused_not_run.py
@@ -28,11 +28,13 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control says "not run" for a lost holder."""
-        plan = Plan(seed=seed, guards=Components(), work_seconds=WORK_SECONDS)
+        plan = Plan(
+            seed=seed, components=Components(), work_seconds=WORK_SECONDS
+        )
         if control:
             plan = attrs.evolve(
                 plan,
-                guards=Components(foreign=HastyForeignRule),
+                components=Components(foreign=HastyForeignRule),
                 faults=CONTROL_FAULTS,
                 work_seconds=CONTROL_WORK_SECONDS,
                 lead_seconds=CONTROL_LEAD_SECONDS,
--- a/burdocksill_lab/proofs/service_isolation.py
+++ b/burdocksill_lab/proofs/service_isolation.py
@@ -194,12 +194,12 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; a control trusts whoever answers at an address."""
-        guards = (
+        components = (
             Components(verifier=AnybodyVerifier) if control else Components()
         )
 
         async def main() -> Story:
-            async with open_world(seed, guards=guards) as world:
+            async with open_world(seed, components=components) as world:
                 story = Story(world=world, rng=Random(seed))
                 await story.run()
                 return story
--- a/burdocksill_lab/proofs/upstream_leaving.py
+++ b/burdocksill_lab/proofs/upstream_leaving.py
@@ -154,14 +154,14 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control takes no notice of who leaves."""
-        guards = Components()
+        components = Components()
         if control:
-            guards = Components(
+            components = Components(
                 leaving_rule=lambda store: NeverLeaving(store=store),
             )
 
         async def story() -> ProofResult:
-            async with open_world(seed, guards=guards) as world:
+            async with open_world(seed, components=components) as world:
                 told = LeavingStory(world=world)
                 await told.run()
                 return judge(told)
--- a/burdocksill_lab/proofs/whole_answer.py
+++ b/burdocksill_lab/proofs/whole_answer.py
@@ -174,10 +174,12 @@
 
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; a control runs a request for each block."""
-        guards = Components(answers=rerun_answers) if control else Components()
+        components = (
+            Components(answers=rerun_answers) if control else Components()
+        )
 
         async def main() -> Story:
-            async with open_world(seed, guards=guards) as world:
+            async with open_world(seed, components=components) as world:
                 story = Story(world=world)
                 await story.run()
                 return story
--- a/tests/steps/entry_containment.py
+++ b/tests/steps/entry_containment.py
@@ -157,7 +157,7 @@
 @given('a contained entry VM that always takes another for the owner')
 def plan_circle(context: Context) -> None:
     """Swap the placer."""
-    context.guards = Components(placer=circling)
+    context.components = Components(placer=circling)
 
 
 @when('a caller posts to it with a cookie of an unknown owner')
@@ -165,7 +165,9 @@
     """Post with a genuine cookie whose owner and epoch nobody knows."""
 
     async def story() -> None:
-        async with open_world(context.seed, guards=context.guards) as world:
+        async with open_world(
+            context.seed, components=context.components
+        ) as world:
             await start(world)
             node = world.nodes[VM].node
             async with world.session(SERVICE) as session:
