--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -54,7 +54,7 @@
     return AnyWordRule(store=store)
 
 
-def two_choices(
+def make_placer(
     members: MemberView,
     store: DocumentStore,
     rng: Random,
@@ -96,7 +96,7 @@
     placer: Callable[
         [MemberView, DocumentStore, Random, HintBook],
         Placer,
-    ] = two_choices
+    ] = make_placer
     answers: Callable[[Random], AnswerKeeper] = tagged_answers
 
     def transfers(self, rng: Random) -> Transfers:
--- a/tests/steps/entry_containment.py
+++ b/tests/steps/entry_containment.py
@@ -11,7 +11,7 @@
 from burdocksill.callers.session import Session
 from burdocksill.documents.models import ServiceDocument
 from burdocksill.documents.store import DocumentStore
-from burdocksill.entry.components import Components, two_choices
+from burdocksill.entry.components import Components, make_placer
 from burdocksill.flows.cookie import Cookie, address_tag, name_tag
 from burdocksill.flows.placement import Placer
 from burdocksill.membership.protocols import Member, MemberView
@@ -132,7 +132,7 @@
 ) -> CirclingPlacer:
     """Make a placer whose owner carries this VM's name and another tag."""
     ghost = attrs.evolve(members.itself, domain='elsewhere')
-    placer = two_choices(members, store, rng, hints)
+    placer = make_placer(members, store, rng, hints)
     return CirclingPlacer(placer=placer, ghost=Ghost.of(ghost))
 
 
