--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -49,7 +49,7 @@
     )
 
 
-def any_word_rule(store: DocumentStore) -> LeavingRule:
+def make_leaving_rule(store: DocumentStore) -> LeavingRule:
     """Make what decides whether an upstream leaves."""
     return AnyWordRule(store=store)
 
@@ -91,7 +91,7 @@
     stopper: Callable[[], Stopper] = GracefulStopper
     fence: Callable[[MemberView], Fence] = pause_fence
     limiter: Callable[[Upstream, Random], Limiter] = adaptive_limiter
-    leaving_rule: Callable[[DocumentStore], LeavingRule] = any_word_rule
+    leaving_rule: Callable[[DocumentStore], LeavingRule] = make_leaving_rule
     retry_budget: Callable[[], RetryBudget] = ShareBudget
     placer: Callable[
         [MemberView, DocumentStore, Random, HintBook],
