--- a/burdocksill/management/screen.py
+++ b/burdocksill/management/screen.py
@@ -11,7 +11,7 @@
 from burdocksill.admin.client import FleetStatus
 from burdocksill.admin.messages import NodeStatus, OwnedStatus, UpstreamState
 from burdocksill.membership.protocols import MemberState
-from burdocksill.ownership.owned import Tenure
+from burdocksill.ownership.owned import OwnershipState
 from burdocksill.platform.keys import PREFIX
 
 IN_ORDER: Final = 'none'
@@ -180,7 +180,11 @@
 def upstream_text(line: OwnedStatus) -> str:
     """Say what an owner knows of its upstream."""
     healthy = line.state in HEALTHY
-    phase = '' if line.tenure == Tenure.SERVING.value else f', {line.tenure}'
+    phase = (
+        ''
+        if line.tenure == OwnershipState.SERVING.value
+        else f', {line.tenure}'
+    )
     return (
         f'{"ok" if healthy else "!!"} {line.service}/{line.upstream} in '
         f'{line.domain}: {line.state.value}{phase}, '
--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -16,7 +16,7 @@
     HandoverSettled,
     HandoverSettledAck,
 )
-from burdocksill.ownership.owned import OwnedUpstream, Tenure
+from burdocksill.ownership.owned import OwnedUpstream, OwnershipState
 from burdocksill.ownership.table import OwnedKey, OwnerTable
 from burdocksill.peers.envelope import Opened
 from burdocksill.requests.exceptions import RequestFailedError
@@ -83,7 +83,7 @@
         if not isinstance(message, HandoverNone):
             return
         owned = self.table.find(message.service, name_tag(message.upstream))
-        if owned is not None and owned.tenure is Tenure.TAKING:
+        if owned is not None and owned.tenure is OwnershipState.TAKING:
             self.table.start(owned)
 
     def take_part(self, opened: Opened, peer: Address) -> None:
@@ -122,7 +122,7 @@
             limit=part.limit,
             instance=part.instance,
         )
-        if owned.tenure is Tenure.TAKING:
+        if owned.tenure is OwnershipState.TAKING:
             self.table.start(owned)
         self.table.nursery.start_soon(self.settle_lost, owned, tables)
 
--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -16,7 +16,7 @@
 from burdocksill.ownership.epochs import EpochTable
 from burdocksill.ownership.handover import HandoverSender
 from burdocksill.ownership.messages import HandoverRequest
-from burdocksill.ownership.owned import OwnedUpstream, Tenure
+from burdocksill.ownership.owned import OwnedUpstream, OwnershipState
 from burdocksill.ownership.rendezvous import owner_of
 from burdocksill.ownership.succession import Succession
 from burdocksill.peers.sender import PeerSender
@@ -201,7 +201,7 @@
                     await owned.ready.wait()
         for table in self.inherited.pop(key, []):
             owned.epochs.inherit(table)
-        if owned.tenure is Tenure.TAKING:
+        if owned.tenure is OwnershipState.TAKING:
             self.start(owned)
         logger.info(
             'owner of upstream',
