--- a/burdocksill/admin/report.py
+++ b/burdocksill/admin/report.py
@@ -88,7 +88,7 @@
         domain=upstream.domain,
         address=str(upstream.address),
         epoch=current.epoch.hex() if current else '',
-        tenure=owned.tenure.value,
+        tenure=owned.state.value,
         state=upstream_state(owned, store),
         busy=owned.progress.running,
         limit=owned.admission.limiter.limit,
--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -83,7 +83,7 @@
         if not isinstance(message, HandoverNone):
             return
         owned = self.table.find(message.service, name_tag(message.upstream))
-        if owned is not None and owned.tenure is OwnershipState.TAKING:
+        if owned is not None and owned.state is OwnershipState.TAKING:
             self.table.start(owned)
 
     def take_part(self, opened: Opened, peer: Address) -> None:
@@ -122,7 +122,7 @@
             limit=part.limit,
             instance=part.instance,
         )
-        if owned.tenure is OwnershipState.TAKING:
+        if owned.state is OwnershipState.TAKING:
             self.table.start(owned)
         self.table.nursery.start_soon(self.settle_lost, owned, tables)
 
--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -118,7 +118,7 @@
     counters: Counters
     link: CallerLink
     scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
-    tenure: OwnershipState = OwnershipState.TAKING
+    state: OwnershipState = OwnershipState.TAKING
     ready: trio.Event = attrs.field(factory=trio.Event)
     heir: Member | None = None
     # Operators took the failure domain out.
@@ -143,7 +143,7 @@
     def start(self) -> None:
         """Open a fresh epoch and serve."""
         self.epochs.open()
-        self.tenure = OwnershipState.SERVING
+        self.state = OwnershipState.SERVING
         self.ready.set()
 
     async def enter(
@@ -400,14 +400,14 @@
         if self.heir is None:
             return
         known = self.link.reachable(self.heir)
-        if self.tenure is OwnershipState.HEIR_LOST or not known:
+        if self.state is OwnershipState.HEIR_LOST or not known:
             # The lost heir may hold the epochs and may have run the request.
             failure = RequestFailedError(
                 verdict=self.foreign.verdict(),
                 reason=Reason.OWNER_LOST,
             )
             self.finish(envelope, refusal(failure))
-        elif self.tenure is OwnershipState.HANDED_OVER or upstream:
+        elif self.state is OwnershipState.HANDED_OVER or upstream:
             self.link.relay(
                 envelope,
                 self.heir.peer_address,
@@ -419,15 +419,15 @@
     def hand_over_to(self, heir: Member) -> None:
         """Dispatch nothing new from here on, whatever becomes of the heir."""
         self.heir = heir
-        self.tenure = OwnershipState.HANDING_OVER
+        self.state = OwnershipState.HANDING_OVER
         self.ready.set()
 
     def handed_over(self, *, acknowledged: bool) -> None:
         """Let the requests that waited go to the heir."""
         if acknowledged:
-            self.tenure = OwnershipState.HANDED_OVER
+            self.state = OwnershipState.HANDED_OVER
         else:
-            self.tenure = OwnershipState.HEIR_LOST
+            self.state = OwnershipState.HEIR_LOST
         self.feeds.end_all(Reason.STOPPING, keeps_flow=acknowledged)
         waiting = self.waiting
         self.waiting = []
@@ -437,13 +437,13 @@
     def retire(self) -> None:
         """Seal every epoch: nobody takes over, and nothing runs any more."""
         self.epochs.seal_all(trio.current_time())
-        self.tenure = OwnershipState.RETIRED
+        self.state = OwnershipState.RETIRED
         self.ready.set()
 
     def reopen(self) -> None:
         """Start a fresh epoch once a full window has room again."""
         sealed = self.epochs.current is None and not self.epochs.full
-        if self.tenure is OwnershipState.SERVING and sealed:
+        if self.state is OwnershipState.SERVING and sealed:
             self.epochs.open()
 
     def finish(self, envelope: Envelope, answer: Answer) -> None:
--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -201,7 +201,7 @@
                     await owned.ready.wait()
         for table in self.inherited.pop(key, []):
             owned.epochs.inherit(table)
-        if owned.tenure is OwnershipState.TAKING:
+        if owned.state is OwnershipState.TAKING:
             self.start(owned)
         logger.info(
             'owner of upstream',
@@ -274,7 +274,7 @@
             extra={
                 'upstream': owned.upstream.name,
                 'heir': heir.name,
-                'tenure': owned.tenure.value,
+                'tenure': owned.state.value,
             },
         )
 
