--- a/burdocksill/ownership/succession.py
+++ b/burdocksill/ownership/succession.py
@@ -30,7 +30,7 @@
 
 
 @attrs.define(kw_only=True)
-class NoSuccession:
+class NoSuccessorPolicy:
     """Hand over to nobody: the naive baseline of the control runs."""
 
     def heir(self, members: Sequence[Member], subject: str) -> Member | None:
--- a/burdocksill_lab/proofs/flow_survives.py
+++ b/burdocksill_lab/proofs/flow_survives.py
@@ -9,7 +9,7 @@
 import trio
 
 from burdocksill.entry.components import Components
-from burdocksill.ownership.succession import NoSuccession
+from burdocksill.ownership.succession import NoSuccessorPolicy
 from burdocksill_lab.fakes.deterministic import run_seeded
 from burdocksill_lab.fakes.world import open_world
 from burdocksill_lab.proofs.accounts import Books, check_once, runs
@@ -66,7 +66,9 @@
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control hands over to nobody."""
         components = (
-            Components(succession=NoSuccession) if control else Components()
+            Components(succession=NoSuccessorPolicy)
+            if control
+            else Components()
         )
         books = Books()
         ran = run_seeded(seed, partial(story, seed, components, books))
