--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -19,7 +19,10 @@
 from burdocksill.ownership.fence import PauseFence
 from burdocksill.ownership.foreign import ForeignRule, HonestForeignRule
 from burdocksill.ownership.protocols import Fence
-from burdocksill.ownership.succession import RendezvousSuccession, Succession
+from burdocksill.ownership.succession import (
+    RendezvousSuccessorPolicy,
+    Succession,
+)
 from burdocksill.requests.blocks import (
     AnswerKeeper,
     TaggedAnswers,
@@ -87,7 +90,7 @@
     domain_rule: Callable[[], DomainRule] = OperatorsDomainRule
     verifier: Callable[[], IdentityVerifier] = NameVerifier
     foreign: Callable[[], ForeignRule] = HonestForeignRule
-    succession: Callable[[], Succession] = RendezvousSuccession
+    succession: Callable[[], Succession] = RendezvousSuccessorPolicy
     stopper: Callable[[], Stopper] = GracefulStopper
     fence: Callable[[MemberView], Fence] = pause_fence
     limiter: Callable[[Upstream, Random], Limiter] = adaptive_limiter
--- a/burdocksill/ownership/succession.py
+++ b/burdocksill/ownership/succession.py
@@ -17,7 +17,7 @@
 
 
 @attrs.define(kw_only=True)
-class RendezvousSuccession:
+class RendezvousSuccessorPolicy:
     """Hand over to the member that every other VM takes for the new owner.
 
     Without a handover every flow of the upstream meets a VM that does not
