--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -21,7 +21,7 @@
 from burdocksill.ownership.protocols import Fence
 from burdocksill.ownership.succession import (
     RendezvousSuccessorPolicy,
-    Succession,
+    SuccessorPolicy,
 )
 from burdocksill.requests.blocks import (
     AnswerKeeper,
@@ -90,7 +90,7 @@
     domain_rule: Callable[[], DomainRule] = OperatorsDomainRule
     verifier: Callable[[], IdentityVerifier] = NameVerifier
     foreign: Callable[[], ForeignRule] = HonestForeignRule
-    succession: Callable[[], Succession] = RendezvousSuccessorPolicy
+    succession: Callable[[], SuccessorPolicy] = RendezvousSuccessorPolicy
     stopper: Callable[[], Stopper] = GracefulStopper
     fence: Callable[[MemberView], Fence] = pause_fence
     limiter: Callable[[Upstream, Random], Limiter] = adaptive_limiter
--- a/burdocksill/ownership/succession.py
+++ b/burdocksill/ownership/succession.py
@@ -9,7 +9,7 @@
 from burdocksill.ownership.rendezvous import owner_of
 
 
-class Succession(Protocol):
+class SuccessorPolicy(Protocol):
     """Choose the heir of an upstream."""
 
     def heir(self, members: Sequence[Member], subject: str) -> Member | None:
--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -18,7 +18,7 @@
 from burdocksill.ownership.messages import HandoverRequest
 from burdocksill.ownership.owned import OwnedUpstream, OwnershipState
 from burdocksill.ownership.rendezvous import owner_of
-from burdocksill.ownership.succession import Succession
+from burdocksill.ownership.succession import SuccessorPolicy
 from burdocksill.peers.sender import PeerSender
 from burdocksill.requests.window import RequestWindow
 from burdocksill.upstreams.messages import UpstreamHint
@@ -65,7 +65,7 @@
     nursery: trio.Nursery
     peers: PeerSender
     make_window: Callable[[], RequestWindow]
-    succession: Succession
+    succession: SuccessorPolicy
     # Makes an owned upstream that does not serve yet.
     build: Callable[[ServiceDocument, Upstream], OwnedUpstream]
     owned: dict[OwnedKey, OwnedUpstream] = attrs.field(factory=dict)
