--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -90,7 +90,7 @@
     domain_rule: Callable[[], DomainRule] = OperatorsDomainRule
     verifier: Callable[[], IdentityVerifier] = NameVerifier
     foreign: Callable[[], ForeignRule] = HonestForeignRule
-    succession: Callable[[], SuccessorPolicy] = RendezvousSuccessorPolicy
+    successor_policy: Callable[[], SuccessorPolicy] = RendezvousSuccessorPolicy
     stopper: Callable[[], Stopper] = GracefulStopper
     fence: Callable[[MemberView], Fence] = pause_fence
     limiter: Callable[[Upstream, Random], Limiter] = adaptive_limiter
--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -122,7 +122,7 @@
             build=self.build_owned,
             peers=channel,
             make_window=self.components.window,
-            succession=self.components.succession(),
+            successor_policy=self.components.successor_policy(),
         )
         self.hints = HintBook(own=self.owners.hints)
         self.fleet.hints.source = self.hints
--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -65,7 +65,7 @@
     nursery: trio.Nursery
     peers: PeerSender
     make_window: Callable[[], RequestWindow]
-    succession: SuccessorPolicy
+    successor_policy: SuccessorPolicy
     # Makes an owned upstream that does not serve yet.
     build: Callable[[ServiceDocument, Upstream], OwnedUpstream]
     owned: dict[OwnedKey, OwnedUpstream] = attrs.field(factory=dict)
@@ -253,7 +253,7 @@
             if member.tag != itself.tag
         ]
         name = subject(owned.document.service, current.name)
-        return self.succession.heir(others, name)
+        return self.successor_policy.heir(others, name)
 
     async def hand_over(self, owned: OwnedUpstream, heir: Member) -> None:
         """Send an upstream's table to one heir and to no other, ever."""
--- a/burdocksill_lab/proofs/flow_survives.py
+++ b/burdocksill_lab/proofs/flow_survives.py
@@ -66,7 +66,7 @@
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control hands over to nobody."""
         components = (
-            Components(succession=NoSuccessorPolicy)
+            Components(successor_policy=NoSuccessorPolicy)
             if control
             else Components()
         )
