--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -17,12 +17,12 @@
 from burdocksill.flows.placement import Placer, TwoChoicePlacer
 from burdocksill.membership.protocols import MemberView
 from burdocksill.ownership.fence import PauseFence
-from burdocksill.ownership.foreign import ForeignRule, HonestForeignRule
 from burdocksill.ownership.protocols import Fence
 from burdocksill.ownership.succession import (
     RendezvousSuccessorPolicy,
     SuccessorPolicy,
 )
+from burdocksill.ownership.unknown_epochs import ForeignRule, HonestForeignRule
 from burdocksill.requests.blocks import (
     AnswerKeeper,
     TaggedAnswers,
--- a/burdocksill/entry/domains.py
+++ b/burdocksill/entry/domains.py
@@ -10,7 +10,7 @@
 from burdocksill.flows.cookie import Cookie
 from burdocksill.flows.placement import NOTHING_AVOIDED, Placer
 from burdocksill.membership.protocols import Member
-from burdocksill.ownership.foreign import ForeignRule
+from burdocksill.ownership.unknown_epochs import ForeignRule
 from burdocksill.requests.exceptions import RequestFailedError
 from burdocksill.requests.messages import Envelope
 from burdocksill.requests.verdict import Reason, Verdict
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -38,8 +38,8 @@
 from burdocksill.observe.counters import Counters
 from burdocksill.observe.decisions import DecisionLog
 from burdocksill.observe.tracing import Tracing, current_traceparent
-from burdocksill.ownership.foreign import ForeignRule
 from burdocksill.ownership.table import OwnerTable
+from burdocksill.ownership.unknown_epochs import ForeignRule
 from burdocksill.peers.channel import PeerChannel
 from burdocksill.peers.envelope import Opened
 from burdocksill.peers.messages import RelayRequest
--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -22,10 +22,10 @@
 from burdocksill.ownership.cookies import CookieIssuer
 from burdocksill.ownership.epochs import EpochHolder, EpochTable
 from burdocksill.ownership.feeds import FeedTable
-from burdocksill.ownership.foreign import ForeignRule
 from burdocksill.ownership.progress import InProgress
 from burdocksill.ownership.protocols import CallerLink, Fence
 from burdocksill.ownership.side_requests import SideRequests
+from burdocksill.ownership.unknown_epochs import ForeignRule
 from burdocksill.requests.blocks import Transfers
 from burdocksill.requests.cancellation import Cancellations
 from burdocksill.requests.dispatch import Dispatcher
--- a/burdocksill_lab/proofs/at_most_once.py
+++ b/burdocksill_lab/proofs/at_most_once.py
@@ -5,7 +5,7 @@
 import attrs
 
 from burdocksill.entry.components import Components
-from burdocksill.ownership.foreign import EagerForeignRule
+from burdocksill.ownership.unknown_epochs import EagerForeignRule
 from burdocksill.requests.window import ForgetfulWindow
 from burdocksill_lab.proofs.accounts import Books, check_once
 from burdocksill_lab.proofs.base import ProofResult
--- a/burdocksill_lab/proofs/combined.py
+++ b/burdocksill_lab/proofs/combined.py
@@ -17,7 +17,7 @@
 from burdocksill.documents.store import LastWriterRule
 from burdocksill.entry.components import Components
 from burdocksill.exceptions import BurdocksillError
-from burdocksill.ownership.foreign import EagerForeignRule
+from burdocksill.ownership.unknown_epochs import EagerForeignRule
 from burdocksill.platform.keys import document_key
 from burdocksill.requests.window import ForgetfulWindow
 from burdocksill_lab.fakes.deterministic import run_seeded
--- a/burdocksill_lab/proofs/refused_not_run.py
+++ b/burdocksill_lab/proofs/refused_not_run.py
@@ -5,7 +5,7 @@
 import attrs
 
 from burdocksill.entry.components import Components
-from burdocksill.ownership.foreign import HastyForeignRule
+from burdocksill.ownership.unknown_epochs import HastyForeignRule
 from burdocksill_lab.proofs.accounts import Books, check_honest
 from burdocksill_lab.proofs.base import ProofResult
 from burdocksill_lab.proofs.owner_trouble import Plan, figures, run_story
