--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -22,7 +22,10 @@
     RendezvousSuccessorPolicy,
     SuccessorPolicy,
 )
-from burdocksill.ownership.unknown_epochs import ForeignRule, HonestForeignRule
+from burdocksill.ownership.unknown_epochs import (
+    ForeignRule,
+    IdempotentOnlyPolicy,
+)
 from burdocksill.requests.blocks import (
     AnswerKeeper,
     TaggedAnswers,
@@ -89,7 +92,7 @@
     revision_rule: Callable[[], RevisionRule] = HighestRevisionRule
     domain_rule: Callable[[], DomainRule] = OperatorsDomainRule
     verifier: Callable[[], IdentityVerifier] = NameVerifier
-    foreign: Callable[[], ForeignRule] = HonestForeignRule
+    foreign: Callable[[], ForeignRule] = IdempotentOnlyPolicy
     successor_policy: Callable[[], SuccessorPolicy] = RendezvousSuccessorPolicy
     stopper: Callable[[], Stopper] = GracefulStopper
     fence: Callable[[MemberView], Fence] = pause_fence
--- a/burdocksill/ownership/unknown_epochs.py
+++ b/burdocksill/ownership/unknown_epochs.py
@@ -19,7 +19,7 @@
 
 
 @attrs.define(kw_only=True)
-class HonestForeignRule:
+class IdempotentOnlyPolicy:
     """Run only what may run twice, and never claim to know the rest.
 
     The holder may be dead, paused or cut off, and may have run the request
