--- a/burdocksill/ownership/unknown_epochs.py
+++ b/burdocksill/ownership/unknown_epochs.py
@@ -38,7 +38,7 @@
 
 
 @attrs.define(kw_only=True)
-class EagerForeignRule:
+class AlwaysRunPolicy:
     """Run everything: a naive baseline of the control runs."""
 
     def may_run(self, request: CallerRequest) -> bool:
--- a/burdocksill_lab/proofs/at_most_once.py
+++ b/burdocksill_lab/proofs/at_most_once.py
@@ -5,7 +5,7 @@
 import attrs
 
 from burdocksill.entry.components import Components
-from burdocksill.ownership.unknown_epochs import EagerForeignRule
+from burdocksill.ownership.unknown_epochs import AlwaysRunPolicy
 from burdocksill.requests.window import ForgetfulWindow
 from burdocksill_lab.proofs.accounts import Books, check_once
 from burdocksill_lab.proofs.base import ProofResult
@@ -23,7 +23,7 @@
         components = Components()
         if control:
             components = Components(
-                window=ForgetfulWindow, foreign=EagerForeignRule
+                window=ForgetfulWindow, foreign=AlwaysRunPolicy
             )
         books = Books()
         ran = run_story(Plan(seed=seed, components=components), books)
--- a/burdocksill_lab/proofs/combined.py
+++ b/burdocksill_lab/proofs/combined.py
@@ -17,7 +17,7 @@
 from burdocksill.documents.store import LastWriterRule
 from burdocksill.entry.components import Components
 from burdocksill.exceptions import BurdocksillError
-from burdocksill.ownership.unknown_epochs import EagerForeignRule
+from burdocksill.ownership.unknown_epochs import AlwaysRunPolicy
 from burdocksill.platform.keys import document_key
 from burdocksill.requests.window import ForgetfulWindow
 from burdocksill_lab.fakes.deterministic import run_seeded
@@ -294,7 +294,7 @@
         if control:
             components = Components(
                 window=ForgetfulWindow,
-                foreign=EagerForeignRule,
+                foreign=AlwaysRunPolicy,
                 revision_rule=LastWriterRule,
             )
         books = Books()
