--- a/burdocksill/ownership/unknown_epochs.py
+++ b/burdocksill/ownership/unknown_epochs.py
@@ -51,7 +51,7 @@
 
 
 @attrs.define(kw_only=True)
-class HastyForeignRule:
+class AssumeNotRunPolicy:
     """Take the holder's loss for proof: a naive baseline of control runs."""
 
     def may_run(self, request: CallerRequest) -> bool:
--- a/burdocksill_lab/proofs/refused_not_run.py
+++ b/burdocksill_lab/proofs/refused_not_run.py
@@ -5,7 +5,7 @@
 import attrs
 
 from burdocksill.entry.components import Components
-from burdocksill.ownership.unknown_epochs import HastyForeignRule
+from burdocksill.ownership.unknown_epochs import AssumeNotRunPolicy
 from burdocksill_lab.proofs.accounts import Books, check_honest
 from burdocksill_lab.proofs.base import ProofResult
 from burdocksill_lab.proofs.owner_trouble import Plan, figures, run_story
@@ -34,7 +34,7 @@
         if control:
             plan = attrs.evolve(
                 plan,
-                components=Components(foreign=HastyForeignRule),
+                components=Components(foreign=AssumeNotRunPolicy),
                 faults=CONTROL_FAULTS,
                 work_seconds=CONTROL_WORK_SECONDS,
                 lead_seconds=CONTROL_LEAD_SECONDS,
