--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -23,8 +23,8 @@
     SuccessorPolicy,
 )
 from burdocksill.ownership.unknown_epochs import (
-    ForeignRule,
     IdempotentOnlyPolicy,
+    UnknownEpochPolicy,
 )
 from burdocksill.requests.blocks import (
     AnswerKeeper,
@@ -92,7 +92,7 @@
     revision_rule: Callable[[], RevisionRule] = HighestRevisionRule
     domain_rule: Callable[[], DomainRule] = OperatorsDomainRule
     verifier: Callable[[], IdentityVerifier] = NameVerifier
-    foreign: Callable[[], ForeignRule] = IdempotentOnlyPolicy
+    foreign: Callable[[], UnknownEpochPolicy] = IdempotentOnlyPolicy
     successor_policy: Callable[[], SuccessorPolicy] = RendezvousSuccessorPolicy
     stopper: Callable[[], Stopper] = GracefulStopper
     fence: Callable[[MemberView], Fence] = pause_fence
--- a/burdocksill/entry/domains.py
+++ b/burdocksill/entry/domains.py
@@ -10,7 +10,7 @@
 from burdocksill.flows.cookie import Cookie
 from burdocksill.flows.placement import NOTHING_AVOIDED, Placer
 from burdocksill.membership.protocols import Member
-from burdocksill.ownership.unknown_epochs import ForeignRule
+from burdocksill.ownership.unknown_epochs import UnknownEpochPolicy
 from burdocksill.requests.exceptions import RequestFailedError
 from burdocksill.requests.messages import Envelope
 from burdocksill.requests.verdict import Reason, Verdict
@@ -40,7 +40,7 @@
 
     store: DocumentStore
     placer: Placer
-    foreign: ForeignRule
+    foreign: UnknownEpochPolicy
     place: PlaceFlow
     count: Callable[[str], None]
 
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -39,7 +39,7 @@
 from burdocksill.observe.decisions import DecisionLog
 from burdocksill.observe.tracing import Tracing, current_traceparent
 from burdocksill.ownership.table import OwnerTable
-from burdocksill.ownership.unknown_epochs import ForeignRule
+from burdocksill.ownership.unknown_epochs import UnknownEpochPolicy
 from burdocksill.peers.channel import PeerChannel
 from burdocksill.peers.envelope import Opened
 from burdocksill.peers.messages import RelayRequest
@@ -72,7 +72,7 @@
     channel: PeerChannel
     socket: DatagramSocket
     clock: WallClock
-    foreign: ForeignRule
+    foreign: UnknownEpochPolicy
     # The answers and bodies in transfer of every upstream owned here.
     transfers: Transfers
     counters: Counters
--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -25,7 +25,7 @@
 from burdocksill.ownership.progress import InProgress
 from burdocksill.ownership.protocols import CallerLink, Fence
 from burdocksill.ownership.side_requests import SideRequests
-from burdocksill.ownership.unknown_epochs import ForeignRule
+from burdocksill.ownership.unknown_epochs import UnknownEpochPolicy
 from burdocksill.requests.blocks import Transfers
 from burdocksill.requests.cancellation import Cancellations
 from burdocksill.requests.dispatch import Dispatcher
@@ -113,7 +113,7 @@
     dispatcher: Dispatcher
     transfers: Transfers
     fence: Fence
-    foreign: ForeignRule
+    foreign: UnknownEpochPolicy
     admission: Admission
     counters: Counters
     link: CallerLink
--- a/burdocksill/ownership/unknown_epochs.py
+++ b/burdocksill/ownership/unknown_epochs.py
@@ -8,7 +8,7 @@
 from burdocksill.requests.verdict import Verdict
 
 
-class ForeignRule(Protocol):
+class UnknownEpochPolicy(Protocol):
     """Decide on requests whose epoch some other VM holds, or held."""
 
     def may_run(self, request: CallerRequest) -> bool:
