--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -92,7 +92,9 @@
     revision_rule: Callable[[], RevisionRule] = HighestRevisionRule
     domain_rule: Callable[[], DomainRule] = OperatorsDomainRule
     verifier: Callable[[], IdentityVerifier] = NameVerifier
-    foreign: Callable[[], UnknownEpochPolicy] = IdempotentOnlyPolicy
+    unknown_epoch_policy: Callable[[], UnknownEpochPolicy] = (
+        IdempotentOnlyPolicy
+    )
     successor_policy: Callable[[], SuccessorPolicy] = RendezvousSuccessorPolicy
     stopper: Callable[[], Stopper] = GracefulStopper
     fence: Callable[[MemberView], Fence] = pause_fence
--- a/burdocksill/entry/domains.py
+++ b/burdocksill/entry/domains.py
@@ -40,7 +40,7 @@
 
     store: DocumentStore
     placer: Placer
-    foreign: UnknownEpochPolicy
+    unknown_epoch_policy: UnknownEpochPolicy
     place: PlaceFlow
     count: Callable[[str], None]
 
@@ -83,7 +83,7 @@
         self.count('flows_left_domain')
         if self.placer.place(document) is None:
             raise RequestFailedError(
-                verdict=self.foreign.verdict(),
+                verdict=self.unknown_epoch_policy.verdict(),
                 reason=Reason.DOMAIN_OUT,
                 message=f'{document.service} runs only in domains out',
             )
@@ -114,7 +114,7 @@
             self.place(envelope, document, avoid=avoid)
             return
         # A cookie of a lost owner: that one may have run the request.
-        unknown = self.foreign.verdict()
+        unknown = self.unknown_epoch_policy.verdict()
         raise RequestFailedError(
             verdict=Verdict.NOT_RUN if cookie is None else unknown,
             reason=Reason.NO_UPSTREAM,
--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -141,7 +141,7 @@
             channel=channel,
             socket=await self.network.open_datagrams(self.settings.listen),
             clock=self.clock,
-            foreign=self.components.foreign(),
+            unknown_epoch_policy=self.components.unknown_epoch_policy(),
             transfers=self.components.transfers(self.rng),
             counters=self.counters,
             nursery=nursery,
@@ -209,6 +209,6 @@
             admission=parts.admission,
             counters=self.counters,
             fence=self.fence,
-            foreign=self.components.foreign(),
+            unknown_epoch_policy=self.components.unknown_epoch_policy(),
             link=self.router,
         )
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -72,7 +72,7 @@
     channel: PeerChannel
     socket: DatagramSocket
     clock: WallClock
-    foreign: UnknownEpochPolicy
+    unknown_epoch_policy: UnknownEpochPolicy
     # The answers and bodies in transfer of every upstream owned here.
     transfers: Transfers
     counters: Counters
@@ -109,7 +109,7 @@
         self.exits = DomainExit(
             store=self.store,
             placer=self.placer,
-            foreign=self.foreign,
+            unknown_epoch_policy=self.unknown_epoch_policy,
             place=self.place,
             count=self.counters.add,
         )
@@ -315,11 +315,11 @@
             self.place(envelope, document)
             return
         placed = self.placer.place(document) is not None
-        if placed and self.foreign.may_run(envelope.request):
+        if placed and self.unknown_epoch_policy.may_run(envelope.request):
             self.place(envelope, document)
             return
         raise RequestFailedError(
-            verdict=self.foreign.verdict(),
+            verdict=self.unknown_epoch_policy.verdict(),
             reason=Reason.OWNER_LOST,
             message='the owner that knew this request is gone',
         )
--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -113,7 +113,7 @@
     dispatcher: Dispatcher
     transfers: Transfers
     fence: Fence
-    foreign: UnknownEpochPolicy
+    unknown_epoch_policy: UnknownEpochPolicy
     admission: Admission
     counters: Counters
     link: CallerLink
@@ -330,7 +330,9 @@
         age = cookie.age(self.clock.now())
         if age is CookieAge.FORGOTTEN:
             self.offer_cookie(envelope, cookie.flow_id, Reason.COOKIE_EXPIRED)
-        elif current is not None and self.foreign.may_run(envelope.request):
+        elif current is not None and self.unknown_epoch_policy.may_run(
+            envelope.request
+        ):
             self.counters.add('requests_adopted')
             adopted = attrs.evolve(
                 cookie,
@@ -341,7 +343,7 @@
             await self.serve_held(doubtful, adopted, current)
         else:
             failure = RequestFailedError(
-                verdict=self.foreign.verdict(),
+                verdict=self.unknown_epoch_policy.verdict(),
                 reason=reason,
                 message='the owner that knew this request is gone',
             )
@@ -403,7 +405,7 @@
         if self.state is OwnershipState.HEIR_LOST or not known:
             # The lost heir may hold the epochs and may have run the request.
             failure = RequestFailedError(
-                verdict=self.foreign.verdict(),
+                verdict=self.unknown_epoch_policy.verdict(),
                 reason=Reason.OWNER_LOST,
             )
             self.finish(envelope, refusal(failure))
@@ -449,7 +451,7 @@
     def finish(self, envelope: Envelope, answer: Answer) -> None:
         """Count an answer and send it with the hops it took."""
         if envelope.adopted:
-            answer = doubted(answer, self.foreign.verdict())
+            answer = doubted(answer, self.unknown_epoch_policy.verdict())
         self.counters.add(
             'answers',
             service=self.document.service,
--- a/burdocksill_lab/proofs/at_most_once.py
+++ b/burdocksill_lab/proofs/at_most_once.py
@@ -23,7 +23,7 @@
         components = Components()
         if control:
             components = Components(
-                window=ForgetfulWindow, foreign=AlwaysRunPolicy
+                window=ForgetfulWindow, unknown_epoch_policy=AlwaysRunPolicy
             )
         books = Books()
         ran = run_story(Plan(seed=seed, components=components), books)
--- a/burdocksill_lab/proofs/combined.py
+++ b/burdocksill_lab/proofs/combined.py
@@ -294,7 +294,7 @@
         if control:
             components = Components(
                 window=ForgetfulWindow,
-                foreign=AlwaysRunPolicy,
+                unknown_epoch_policy=AlwaysRunPolicy,
                 revision_rule=LastWriterRule,
             )
         books = Books()
--- a/burdocksill_lab/proofs/refused_not_run.py
+++ b/burdocksill_lab/proofs/refused_not_run.py
@@ -34,7 +34,7 @@
         if control:
             plan = attrs.evolve(
                 plan,
-                components=Components(foreign=AssumeNotRunPolicy),
+                components=Components(unknown_epoch_policy=AssumeNotRunPolicy),
                 faults=CONTROL_FAULTS,
                 work_seconds=CONTROL_WORK_SECONDS,
                 lead_seconds=CONTROL_LEAD_SECONDS,
