--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -13,7 +13,7 @@
     OperatorsDomainRule,
     RevisionRule,
 )
-from burdocksill.entry.stopping import GracefulStopper, Stopper
+from burdocksill.entry.shutdown import GracefulStopper, Stopper
 from burdocksill.flows.placement import Placer, TwoChoicePlacer
 from burdocksill.membership.protocols import MemberView
 from burdocksill.ownership.fence import PauseFence
--- a/burdocksill_lab/proofs/graceful_stop.py
+++ b/burdocksill_lab/proofs/graceful_stop.py
@@ -9,7 +9,7 @@
 import trio
 
 from burdocksill.entry.components import Components
-from burdocksill.entry.stopping import STOP_SECONDS, AbruptStopper
+from burdocksill.entry.shutdown import STOP_SECONDS, AbruptStopper
 from burdocksill_lab.fakes.deterministic import run_seeded
 from burdocksill_lab.fakes.world import open_world
 from burdocksill_lab.proofs.accounts import Books, check_once, runs
