--- a/burdocksill/entry/shutdown.py
+++ b/burdocksill/entry/shutdown.py
@@ -24,7 +24,7 @@
 
 
 @attrs.define(kw_only=True)
-class GracefulStopper:
+class GracefulShutdown:
     """Leave, hand over, wait for the requests in progress, linger.
 
     The fabric and other VMs send packets here until they have heard of the
