--- a/burdocksill/entry/shutdown.py
+++ b/burdocksill/entry/shutdown.py
@@ -46,7 +46,7 @@
 
 
 @attrs.define(kw_only=True)
-class AbruptStopper:
+class ImmediateShutdown:
     """End at once: the naive baseline of the control runs."""
 
     async def stop(
--- a/burdocksill_lab/proofs/graceful_stop.py
+++ b/burdocksill_lab/proofs/graceful_stop.py
@@ -9,7 +9,7 @@
 import trio
 
 from burdocksill.entry.components import Components
-from burdocksill.entry.shutdown import STOP_SECONDS, AbruptStopper
+from burdocksill.entry.shutdown import STOP_SECONDS, ImmediateShutdown
 from burdocksill_lab.fakes.deterministic import run_seeded
 from burdocksill_lab.fakes.world import open_world
 from burdocksill_lab.proofs.accounts import Books, check_once, runs
@@ -69,7 +69,7 @@
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control ends each VM at once."""
         components = (
-            Components(stopper=AbruptStopper) if control else Components()
+            Components(stopper=ImmediateShutdown) if control else Components()
         )
         books = Books()
         ran = run_seeded(seed, partial(story, seed, components, books))
