--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -13,7 +13,7 @@
     OperatorsDomainRule,
     RevisionRule,
 )
-from burdocksill.entry.shutdown import GracefulShutdown, Stopper
+from burdocksill.entry.shutdown import GracefulShutdown, ShutdownPolicy
 from burdocksill.flows.placement import Placer, TwoChoicePlacer
 from burdocksill.membership.protocols import MemberView
 from burdocksill.ownership.fence import PauseFence
@@ -96,7 +96,7 @@
         IdempotentOnlyPolicy
     )
     successor_policy: Callable[[], SuccessorPolicy] = RendezvousSuccessorPolicy
-    stopper: Callable[[], Stopper] = GracefulShutdown
+    stopper: Callable[[], ShutdownPolicy] = GracefulShutdown
     fence: Callable[[MemberView], Fence] = pause_fence
     limiter: Callable[[Upstream, Random], Limiter] = adaptive_limiter
     leaving_rule: Callable[[DocumentStore], LeavingRule] = make_leaving_rule
--- a/burdocksill/entry/shutdown.py
+++ b/burdocksill/entry/shutdown.py
@@ -11,7 +11,7 @@
 LINGER_SECONDS: Final = 2.0
 
 
-class Stopper(Protocol):
+class ShutdownPolicy(Protocol):
     """Bring the work of a VM to its end."""
 
     async def stop(
