--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -96,7 +96,7 @@
         IdempotentOnlyPolicy
     )
     successor_policy: Callable[[], SuccessorPolicy] = RendezvousSuccessorPolicy
-    stopper: Callable[[], ShutdownPolicy] = GracefulShutdown
+    shutdown_policy: Callable[[], ShutdownPolicy] = GracefulShutdown
     fence: Callable[[MemberView], Fence] = pause_fence
     limiter: Callable[[Upstream, Random], Limiter] = adaptive_limiter
     leaving_rule: Callable[[DocumentStore], LeavingRule] = make_leaving_rule
--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -97,7 +97,7 @@
 
     async def stop(self) -> None:
         """Stop as planned; `run` returns when it is done."""
-        await self.components.stopper().stop(
+        await self.components.shutdown_policy().stop(
             leave=self.membership.leave,
             hand_over=self.hand_over,
         )
--- a/burdocksill_lab/proofs/graceful_stop.py
+++ b/burdocksill_lab/proofs/graceful_stop.py
@@ -69,7 +69,9 @@
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control ends each VM at once."""
         components = (
-            Components(stopper=ImmediateShutdown) if control else Components()
+            Components(shutdown_policy=ImmediateShutdown)
+            if control
+            else Components()
         )
         books = Books()
         ran = run_seeded(seed, partial(story, seed, components, books))
