--- a/burdocksill/entry/domains.py
+++ b/burdocksill/entry/domains.py
@@ -8,7 +8,7 @@
 from burdocksill.documents.models import ServiceDocument
 from burdocksill.documents.store import DocumentStore
 from burdocksill.flows.cookie import Cookie
-from burdocksill.flows.placement import NOTHING_AVOIDED, Placer
+from burdocksill.flows.placement import NO_EXCLUSIONS, Placer
 from burdocksill.membership.protocols import Member
 from burdocksill.ownership.unknown_epochs import UnknownEpochPolicy
 from burdocksill.requests.exceptions import RequestFailedError
@@ -29,7 +29,7 @@
         envelope: Envelope,
         document: ServiceDocument,
         *,
-        avoid: frozenset[str] = NOTHING_AVOIDED,
+        avoid: frozenset[str] = NO_EXCLUSIONS,
     ) -> None:
         """Place the flow outside the upstreams to avoid."""
 
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -24,7 +24,7 @@
 from burdocksill.flows.exceptions import CookieInvalidError
 from burdocksill.flows.placement import (
     ANY_LOAD,
-    NOTHING_AVOIDED,
+    NO_EXCLUSIONS,
     Placement,
     Placer,
 )
@@ -191,7 +191,7 @@
         envelope: Envelope,
         document: ServiceDocument,
         *,
-        avoid: frozenset[str] = NOTHING_AVOIDED,
+        avoid: frozenset[str] = NO_EXCLUSIONS,
     ) -> None:
         """Choose an upstream for a new flow and go to its owner."""
         placement = self.placer.place(document, avoid=avoid)
--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -18,7 +18,7 @@
 CHOICES: Final = 2
 # A bound on load that every upstream is below.
 ANY_LOAD: Final = math.inf
-NOTHING_AVOIDED: Final[frozenset[str]] = frozenset()
+NO_EXCLUSIONS: Final[frozenset[str]] = frozenset()
 
 
 @attrs.frozen(kw_only=True)
@@ -36,7 +36,7 @@
         self,
         document: ServiceDocument,
         *,
-        avoid: frozenset[str] = NOTHING_AVOIDED,
+        avoid: frozenset[str] = NO_EXCLUSIONS,
         below: float = ANY_LOAD,
     ) -> Placement | None:
         """Return a choice outside the upstreams to avoid, None without one.
@@ -76,7 +76,7 @@
         self,
         document: ServiceDocument,
         *,
-        avoid: frozenset[str] = NOTHING_AVOIDED,
+        avoid: frozenset[str] = NO_EXCLUSIONS,
         below: float = ANY_LOAD,
     ) -> Placement | None:
         """Return a choice outside the upstreams to avoid, None without one."""
@@ -158,7 +158,7 @@
         self,
         document: ServiceDocument,
         *,
-        avoid: frozenset[str] = NOTHING_AVOIDED,
+        avoid: frozenset[str] = NO_EXCLUSIONS,
         below: float = ANY_LOAD,
     ) -> Placement | None:
         """Return a choice outside the upstreams to avoid, None without one."""
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -47,7 +47,7 @@
 # The part of the new flows that a suspected domain gets as a trial: what is
 # back is found by one of them, and the rest reach an upstream that answers.
 TRIAL_SHARE: Final = 1 / 16
-NOTHING_AVOIDED: Final[frozenset[str]] = frozenset()
+NO_EXCLUSIONS: Final[frozenset[str]] = frozenset()
 
 
 class ColdBudget:
@@ -123,7 +123,7 @@
         self,
         route: Route,
         now: float,
-        avoid: Container[str] = NOTHING_AVOIDED,
+        avoid: Container[str] = NO_EXCLUSIONS,
     ) -> KnownUpstream | Reason:
         """Return an upstream for a new flow, or why there is none."""
         urgency = self.table.least_urgent - route.priority
@@ -223,7 +223,7 @@
         return [
             known
             for known in self.upstreams.of_domain(service, self.domain, now)
-            if self.rank(known, now, NOTHING_AVOIDED) == WELL
+            if self.rank(known, now, NO_EXCLUSIONS) == WELL
         ]
 
     def ranked(
