--- a/burdocksill/entry/domains.py
+++ b/burdocksill/entry/domains.py
@@ -29,7 +29,7 @@
         envelope: Envelope,
         document: ServiceDocument,
         *,
-        avoid: frozenset[str] = NO_EXCLUSIONS,
+        exclude: frozenset[str] = NO_EXCLUSIONS,
     ) -> None:
         """Place the flow outside the upstreams to avoid."""
 
@@ -101,17 +101,17 @@
         to the sender a moment before or after it is known here.
         """
         document = self.store.services.get(envelope.request.service)
-        avoid = frozenset((upstream,))
+        exclude = frozenset((upstream,))
         few = len(envelope.hops) < LONGEST_PATH
         if (
             document is not None
             and few
             and self.placer.place(
                 document,
-                avoid=avoid,
+                exclude=exclude,
             )
         ):
-            self.place(envelope, document, avoid=avoid)
+            self.place(envelope, document, exclude=exclude)
             return
         # A cookie of a lost owner: that one may have run the request.
         unknown = self.unknown_epoch_policy.verdict()
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -191,10 +191,10 @@
         envelope: Envelope,
         document: ServiceDocument,
         *,
-        avoid: frozenset[str] = NO_EXCLUSIONS,
+        exclude: frozenset[str] = NO_EXCLUSIONS,
     ) -> None:
         """Choose an upstream for a new flow and go to its owner."""
-        placement = self.placer.place(document, avoid=avoid)
+        placement = self.placer.place(document, exclude=exclude)
         if placement is None:
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
@@ -235,7 +235,7 @@
         hops = (*envelope.hops, upstream)
         placement = self.placer.place(
             document,
-            avoid=frozenset(hops),
+            exclude=frozenset(hops),
             below=below,
         )
         if placement is None:
--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -36,7 +36,7 @@
         self,
         document: ServiceDocument,
         *,
-        avoid: frozenset[str] = NO_EXCLUSIONS,
+        exclude: frozenset[str] = NO_EXCLUSIONS,
         below: float = ANY_LOAD,
     ) -> Placement | None:
         """Return a choice outside the upstreams to avoid, None without one.
@@ -76,12 +76,12 @@
         self,
         document: ServiceDocument,
         *,
-        avoid: frozenset[str] = NO_EXCLUSIONS,
+        exclude: frozenset[str] = NO_EXCLUSIONS,
         below: float = ANY_LOAD,
     ) -> Placement | None:
         """Return a choice outside the upstreams to avoid, None without one."""
         self.hints.refresh_own()
-        found = self.candidates(document, avoid)
+        found = self.candidates(document, exclude)
         if math.isfinite(below):
             found = [one for one in found if one.roomy and one.load < below]
         home = self.members.itself.domain
@@ -108,13 +108,13 @@
     def candidates(
         self,
         document: ServiceDocument,
-        avoid: frozenset[str],
+        exclude: frozenset[str],
     ) -> list[Candidate]:
         """Return what may be chosen: those with room, else all usable."""
         roomy: list[Candidate] = []
         usable: list[Candidate] = []
         for upstream in document.upstreams:
-            if upstream.name in avoid or not may_get_flows(
+            if upstream.name in exclude or not may_get_flows(
                 self.store, upstream
             ):
                 continue
@@ -158,7 +158,7 @@
         self,
         document: ServiceDocument,
         *,
-        avoid: frozenset[str] = NO_EXCLUSIONS,
+        exclude: frozenset[str] = NO_EXCLUSIONS,
         below: float = ANY_LOAD,
     ) -> Placement | None:
         """Return a choice outside the upstreams to avoid, None without one."""
@@ -167,7 +167,7 @@
         usable = [
             upstream
             for upstream in document.upstreams
-            if upstream.name not in avoid
+            if upstream.name not in exclude
             and may_get_flows(self.store, upstream)
         ]
         home = self.members.itself.domain
--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -114,17 +114,17 @@
         seen = self.flows.find(packet.flow)
         reason = Reason.OPENED
         if seen is None:
-            avoid = self.refused(packet, now)
+            exclude = self.refused(packet, now)
         elif now - seen.seen_at < REPEAT_SECONDS:
             # Upstreams take the last echo they see, so the double has it too.
             doubled = with_echo(payload, seen.upstream.echo)
             return self.forward(doubled, seen.upstream, Reason.OPENED)
         elif packet.ack:
-            avoid = self.missed(seen, now)
+            exclude = self.missed(seen, now)
             reason = Reason.OPENED_ELSEWHERE
         else:
-            avoid = frozenset()
-        chosen = self.placer.place(route, now, avoid)
+            exclude = frozenset()
+        chosen = self.placer.place(route, now, exclude)
         if chosen is Reason.OVERLOADED:
             return self.refuse_for_load(packet, route)
         if isinstance(chosen, Reason):
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -123,13 +123,13 @@
         self,
         route: Route,
         now: float,
-        avoid: Container[str] = NO_EXCLUSIONS,
+        exclude: Container[str] = NO_EXCLUSIONS,
     ) -> KnownUpstream | Reason:
         """Return an upstream for a new flow, or why there is none."""
         urgency = self.table.least_urgent - route.priority
         reason = Reason.NO_UPSTREAM
         for share in self.shuffled(route.weighted_services):
-            chosen = self.place_at(share.service, urgency, now, avoid)
+            chosen = self.place_at(share.service, urgency, now, exclude)
             if isinstance(chosen, KnownUpstream):
                 return chosen
             if chosen is Reason.OVERLOADED:
@@ -163,7 +163,7 @@
         service: str,
         urgency: int,
         now: float,
-        avoid: Container[str],
+        exclude: Container[str],
     ) -> KnownUpstream | Reason:
         """Return an upstream of a service, the best rank first.
 
@@ -176,14 +176,14 @@
             chosen = self.first_open(home, urgency, now)
             if chosen is not None:
                 return chosen
-        near = self.place_near(service, urgency, now, avoid, worst)
+        near = self.place_near(service, urgency, now, exclude, worst)
         if near is not None:
             return near
-        some = self.some_well(service, now, avoid)
+        some = self.some_well(service, now, exclude)
         chosen = self.first_open(some, urgency, now)
         if isinstance(chosen, KnownUpstream):
             return chosen
-        for candidates in self.ranked(service, now, avoid):
+        for candidates in self.ranked(service, now, exclude):
             chosen = self.first_open(candidates, urgency, now)
             if chosen is not None:
                 return chosen
@@ -193,7 +193,7 @@
         self,
         service: str,
         now: float,
-        avoid: Container[str],
+        exclude: Container[str],
     ) -> list[KnownUpstream]:
         """Return some of the best rank, none where there are few in all."""
         domains = self.upstreams.by_service.get(service, {})
@@ -204,7 +204,7 @@
             known
             for known in self.drawn(service, usable)
             if self.upstreams.may_serve(known, now)
-            and self.rank(known, now, avoid) == WELL
+            and self.rank(known, now, exclude) == WELL
         )
         return list(islice(well, MOST_COMPARED))
 
@@ -230,13 +230,13 @@
         self,
         service: str,
         now: float,
-        avoid: Container[str],
+        exclude: Container[str],
     ) -> tuple[list[KnownUpstream], ...]:
         """Return the upstreams of all domains, by what speaks against them."""
         ranks: tuple[list[KnownUpstream], ...] = tuple([] for _ in range(RANKS))
         for known in self.upstreams.of_service(service, now):
             if known.record.domain not in self.out:
-                ranks[self.rank(known, now, avoid)].append(known)
+                ranks[self.rank(known, now, exclude)].append(known)
         return ranks
 
     def first_open(
@@ -263,7 +263,7 @@
         service: str,
         urgency: int,
         now: float,
-        avoid: Container[str],
+        exclude: Container[str],
         worst: int = WELL,
     ) -> KnownUpstream | None:
         """Return a warm upstream of the own domain that does not queue."""
@@ -273,7 +273,7 @@
             known
             for known in self.drawn(service, [self.domain])
             if self.upstreams.may_serve(known, now)
-            and self.rank(known, now, avoid) <= worst
+            and self.rank(known, now, exclude) <= worst
             and has_room(known, urgency, now)
         )
         found = list(islice(fitting, MOST_COMPARED))
@@ -302,12 +302,12 @@
         self,
         known: KnownUpstream,
         now: float,
-        avoid: Container[str],
+        exclude: Container[str],
     ) -> int:
         """Return how much speaks against an upstream."""
         if self.upstreams.presence(known, now) is Presence.LAPSED:
             return LAPSED
-        if known.record.name in avoid or known.health.is_aside(now):
+        if known.record.name in exclude or known.health.is_aside(now):
             return ASIDE
         return SUSPECTED if self.outages.suspects(known, now) else WELL
 
