--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -222,7 +222,7 @@
         self,
         envelope: Envelope,
         upstream: str,
-        below: float = ANY_LOAD,
+        max_load: float = ANY_LOAD,
     ) -> bool:
         """Open a flow at another upstream; return False without one.
 
@@ -236,7 +236,7 @@
         placement = self.placer.place(
             document,
             exclude=frozenset(hops),
-            below=below,
+            max_load=max_load,
         )
         if placement is None:
             return False
--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -37,11 +37,11 @@
         document: ServiceDocument,
         *,
         exclude: frozenset[str] = NO_EXCLUSIONS,
-        below: float = ANY_LOAD,
+        max_load: float = ANY_LOAD,
     ) -> Placement | None:
         """Return a choice outside the upstreams to avoid, None without one.
 
-        With `below`, only an upstream known to have less load will do.
+        With `max_load`, only an upstream known to have less load will do.
         """
 
     def owner(self, service: str, upstream: Upstream | None) -> Member | None:
@@ -77,13 +77,13 @@
         document: ServiceDocument,
         *,
         exclude: frozenset[str] = NO_EXCLUSIONS,
-        below: float = ANY_LOAD,
+        max_load: float = ANY_LOAD,
     ) -> Placement | None:
         """Return a choice outside the upstreams to avoid, None without one."""
         self.hints.refresh_own()
         found = self.candidates(document, exclude)
-        if math.isfinite(below):
-            found = [one for one in found if one.roomy and one.load < below]
+        if math.isfinite(max_load):
+            found = [one for one in found if one.roomy and one.load < max_load]
         home = self.members.itself.domain
         near = self.choose(
             [one for one in found if one.placement.upstream.domain == home],
@@ -159,10 +159,10 @@
         document: ServiceDocument,
         *,
         exclude: frozenset[str] = NO_EXCLUSIONS,
-        below: float = ANY_LOAD,
+        max_load: float = ANY_LOAD,
     ) -> Placement | None:
         """Return a choice outside the upstreams to avoid, None without one."""
-        if math.isfinite(below):
+        if math.isfinite(max_load):
             return None
         usable = [
             upstream
--- a/burdocksill/upstreams/admission.py
+++ b/burdocksill/upstreams/admission.py
@@ -41,7 +41,7 @@
         self,
         envelope: Envelope,
         upstream: str,
-        below: float = math.inf,
+        max_load: float = math.inf,
     ) -> bool:
         """Return False when there is none, or none with less load."""
 
@@ -184,8 +184,8 @@
         if not self.budget.affords():
             return False
         flows = self.flows.count(now)
-        below = flows / upstream.slots * REBALANCE_FACTOR
-        if not self.elsewhere(envelope, upstream.name, below):
+        max_load = flows / upstream.slots * REBALANCE_FACTOR
+        if not self.elsewhere(envelope, upstream.name, max_load):
             return False
         return self.budget.spend()
 
