--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -23,8 +23,8 @@
 )
 from burdocksill.flows.exceptions import CookieInvalidError
 from burdocksill.flows.placement import (
-    ANY_LOAD,
     NO_EXCLUSIONS,
+    NO_LOAD_LIMIT,
     Placement,
     Placer,
 )
@@ -222,7 +222,7 @@
         self,
         envelope: Envelope,
         upstream: str,
-        max_load: float = ANY_LOAD,
+        max_load: float = NO_LOAD_LIMIT,
     ) -> bool:
         """Open a flow at another upstream; return False without one.
 
--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -17,7 +17,7 @@
 SPILL_MARGIN: Final = 0.05
 CHOICES: Final = 2
 # A bound on load that every upstream is below.
-ANY_LOAD: Final = math.inf
+NO_LOAD_LIMIT: Final = math.inf
 NO_EXCLUSIONS: Final[frozenset[str]] = frozenset()
 
 
@@ -37,7 +37,7 @@
         document: ServiceDocument,
         *,
         exclude: frozenset[str] = NO_EXCLUSIONS,
-        max_load: float = ANY_LOAD,
+        max_load: float = NO_LOAD_LIMIT,
     ) -> Placement | None:
         """Return a choice outside the upstreams to avoid, None without one.
 
@@ -77,7 +77,7 @@
         document: ServiceDocument,
         *,
         exclude: frozenset[str] = NO_EXCLUSIONS,
-        max_load: float = ANY_LOAD,
+        max_load: float = NO_LOAD_LIMIT,
     ) -> Placement | None:
         """Return a choice outside the upstreams to avoid, None without one."""
         self.hints.refresh_own()
@@ -159,7 +159,7 @@
         document: ServiceDocument,
         *,
         exclude: frozenset[str] = NO_EXCLUSIONS,
-        max_load: float = ANY_LOAD,
+        max_load: float = NO_LOAD_LIMIT,
     ) -> Placement | None:
         """Return a choice outside the upstreams to avoid, None without one."""
         if math.isfinite(max_load):
