--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -125,10 +125,10 @@
             candidate = Candidate(
                 placement=Placement(upstream=upstream, owner=owner),
                 load=self.load(held, upstream),
-                roomy=held is not None and has_room(held),
+                roomy=held is not None and has_capacity(held),
             )
             usable.append(candidate)
-            if has_room(held):
+            if has_capacity(held):
                 roomy.append(candidate)
         return roomy or usable
 
@@ -190,7 +190,7 @@
     return not upstream.draining and not store.is_out(upstream.domain)
 
 
-def has_room(held: HeldHint | None) -> bool:
+def has_capacity(held: HeldHint | None) -> bool:
     """Return True unless a hint says that new flows are not wanted."""
     if held is None:
         return True
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -274,7 +274,7 @@
             for known in self.drawn(service, [self.domain])
             if self.upstreams.may_serve(known, now)
             and self.rank(known, now, exclude) <= worst
-            and has_room(known, urgency, now)
+            and has_capacity(known, urgency, now)
         )
         found = list(islice(fitting, MOST_COMPARED))
         ordered = self.by_preference(found, now)
@@ -351,7 +351,7 @@
         return self.budget.take(known.record.name, now, limit)
 
 
-def has_room(known: KnownUpstream, urgency: int, now: float) -> bool:
+def has_capacity(known: KnownUpstream, urgency: int, now: float) -> bool:
     """Return True when it is warm and would answer one more flow at once."""
     return (
         not known.is_cold(now) and not queues(known) and known.admits(urgency)
