--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -176,7 +176,7 @@
             chosen = self.first_open(home, urgency, now)
             if chosen is not None:
                 return chosen
-        near = self.place_near(service, urgency, now, exclude, worst)
+        near = self.place_local(service, urgency, now, exclude, worst)
         if near is not None:
             return near
         some = self.some_well(service, now, exclude)
@@ -258,7 +258,7 @@
                 return known
         return reason
 
-    def place_near(
+    def place_local(
         self,
         service: str,
         urgency: int,
