--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -85,14 +85,14 @@
         if math.isfinite(max_load):
             found = [one for one in found if one.roomy and one.load < max_load]
         home = self.members.itself.domain
-        near = self.choose(
+        local = self.choose(
             [one for one in found if one.placement.upstream.domain == home],
         )
         far = self.choose(
             [one for one in found if one.placement.upstream.domain != home],
         )
-        chosen = near or far
-        if near and far and near.load * (1 - SPILL_MARGIN) > far.load:
+        chosen = local or far
+        if local and far and local.load * (1 - SPILL_MARGIN) > far.load:
             chosen = far
         if chosen is None:
             return None
@@ -171,8 +171,8 @@
             and may_get_flows(self.store, upstream)
         ]
         home = self.members.itself.domain
-        near = [upstream for upstream in usable if upstream.domain == home]
-        for group in (near, usable):
+        local = [upstream for upstream in usable if upstream.domain == home]
+        for group in (local, usable):
             shuffled = self.rng.sample(group, len(group))
             for upstream in shuffled:
                 owner = find_owner(self.members, document.service, upstream)
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -176,9 +176,9 @@
             chosen = self.first_open(home, urgency, now)
             if chosen is not None:
                 return chosen
-        near = self.place_local(service, urgency, now, exclude, worst)
-        if near is not None:
-            return near
+        local = self.place_local(service, urgency, now, exclude, worst)
+        if local is not None:
+            return local
         some = self.some_well(service, now, exclude)
         chosen = self.first_open(some, urgency, now)
         if isinstance(chosen, KnownUpstream):
@@ -323,11 +323,11 @@
         ]
         keyed.sort(key=lambda one: one[:2])
         ordered = [known for _, _, known in keyed]
-        near = [one for one in ordered if one.record.domain == self.domain]
+        local = [one for one in ordered if one.record.domain == self.domain]
         far = [one for one in ordered if one.record.domain != self.domain]
-        if near and far and queues(near[0]) and not queues(far[0]):
-            return [*far, *near]
-        return [*near, *far]
+        if local and far and queues(local[0]) and not queues(far[0]):
+            return [*far, *local]
+        return [*local, *far]
 
     def load(self, known: KnownUpstream, now: float) -> float:
         """Return the flows for each slot: long flows keep coming back."""
