--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -88,12 +88,12 @@
         local = self.choose(
             [one for one in found if one.placement.upstream.domain == home],
         )
-        far = self.choose(
+        remote = self.choose(
             [one for one in found if one.placement.upstream.domain != home],
         )
-        chosen = local or far
-        if local and far and local.load * (1 - SPILL_MARGIN) > far.load:
-            chosen = far
+        chosen = local or remote
+        if local and remote and local.load * (1 - SPILL_MARGIN) > remote.load:
+            chosen = remote
         if chosen is None:
             return None
         name = chosen.placement.upstream.name
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -324,10 +324,10 @@
         keyed.sort(key=lambda one: one[:2])
         ordered = [known for _, _, known in keyed]
         local = [one for one in ordered if one.record.domain == self.domain]
-        far = [one for one in ordered if one.record.domain != self.domain]
-        if local and far and queues(local[0]) and not queues(far[0]):
-            return [*far, *local]
-        return [*local, *far]
+        remote = [one for one in ordered if one.record.domain != self.domain]
+        if local and remote and queues(local[0]) and not queues(remote[0]):
+            return [*remote, *local]
+        return [*local, *remote]
 
     def load(self, known: KnownUpstream, now: float) -> float:
         """Return the flows for each slot: long flows keep coming back."""
