--- a/burdocksill/requests/window.py
+++ b/burdocksill/requests/window.py
@@ -189,7 +189,7 @@
 
 
 @attrs.define(kw_only=True)
-class ForgetfulWindow:
+class NoDeduplicationWindow:
     """Remember nothing: the naive baseline of the control runs."""
 
     def claim(self, key: RequestKey, digest: bytes, *, now: float) -> Claim:
--- a/burdocksill_lab/proofs/at_most_once.py
+++ b/burdocksill_lab/proofs/at_most_once.py
@@ -6,7 +6,7 @@
 
 from burdocksill.entry.components import Components
 from burdocksill.ownership.unknown_epochs import AlwaysRunPolicy
-from burdocksill.requests.window import ForgetfulWindow
+from burdocksill.requests.window import NoDeduplicationWindow
 from burdocksill_lab.proofs.accounts import Books, check_once
 from burdocksill_lab.proofs.base import ProofResult
 from burdocksill_lab.proofs.owner_trouble import Plan, figures, run_story
@@ -23,7 +23,8 @@
         components = Components()
         if control:
             components = Components(
-                window=ForgetfulWindow, unknown_epoch_policy=AlwaysRunPolicy
+                window=NoDeduplicationWindow,
+                unknown_epoch_policy=AlwaysRunPolicy,
             )
         books = Books()
         ran = run_story(Plan(seed=seed, components=components), books)
--- a/burdocksill_lab/proofs/combined.py
+++ b/burdocksill_lab/proofs/combined.py
@@ -19,7 +19,7 @@
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.ownership.unknown_epochs import AlwaysRunPolicy
 from burdocksill.platform.keys import document_key
-from burdocksill.requests.window import ForgetfulWindow
+from burdocksill.requests.window import NoDeduplicationWindow
 from burdocksill_lab.fakes.deterministic import run_seeded
 from burdocksill_lab.fakes.network import LinkFaults
 from burdocksill_lab.fakes.world import World, open_world
@@ -293,7 +293,7 @@
         components = Components()
         if control:
             components = Components(
-                window=ForgetfulWindow,
+                window=NoDeduplicationWindow,
                 unknown_epoch_policy=AlwaysRunPolicy,
                 revision_rule=LastWriterRule,
             )
