--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -205,7 +205,7 @@
 
 
 @attrs.define(kw_only=True)
-class RerunAnswers:
+class RerunAnswerStore:
     """Keep nothing and run the request again for each block.
 
     The naive baseline of the control runs: blocks come from different runs.
--- a/burdocksill_lab/proofs/whole_answer.py
+++ b/burdocksill_lab/proofs/whole_answer.py
@@ -10,7 +10,7 @@
 from burdocksill.callers.session import Session
 from burdocksill.documents.models import ServiceDocument
 from burdocksill.entry.components import Components
-from burdocksill.requests.blocks import RerunAnswers
+from burdocksill.requests.blocks import RerunAnswerStore
 from burdocksill.requests.messages import Answer
 from burdocksill.requests.verdict import Verdict
 from burdocksill_lab.fakes.deterministic import run_seeded
@@ -161,9 +161,9 @@
         self.trace.append(f'{trio.current_time():.3f} {line}')
 
 
-def rerun_answers(rng: object) -> RerunAnswers:
+def rerun_answers(rng: object) -> RerunAnswerStore:
     """Make the naive baseline."""
-    return RerunAnswers()
+    return RerunAnswerStore()
 
 
 @attrs.frozen(kw_only=True)
