--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -28,7 +28,7 @@
 )
 from burdocksill.requests.blocks import (
     AnswerKeeper,
-    TaggedAnswers,
+    EtagAnswerStore,
     Transfers,
 )
 from burdocksill.requests.retries import RetryBudget, ShareBudget
@@ -77,7 +77,7 @@
 
 def tagged_answers(rng: Random) -> AnswerKeeper:
     """Make the keeper of answers that are larger than a block."""
-    return TaggedAnswers(rng=rng)
+    return EtagAnswerStore(rng=rng)
 
 
 @attrs.frozen(kw_only=True)
--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -97,7 +97,7 @@
 
 
 @attrs.define(kw_only=True)
-class TaggedAnswers:
+class EtagAnswerStore:
     """Keep each answer under an ETag of its own.
 
     Callers name the ETag with each later block. Without it two answers of
--- a/tests/steps/requests_blocks.py
+++ b/tests/steps/requests_blocks.py
@@ -11,7 +11,7 @@
 from burdocksill.callers.exceptions import CallFailedError
 from burdocksill.documents.models import ServiceDocument
 from burdocksill.platform import keys
-from burdocksill.requests.blocks import BodyAssembler, TaggedAnswers
+from burdocksill.requests.blocks import BodyAssembler, EtagAnswerStore
 from burdocksill.requests.exceptions import RequestFailedError
 from burdocksill.requests.messages import Answer, Block, CallerRequest
 from burdocksill.requests.verdict import Reason, Verdict
@@ -181,7 +181,7 @@
 @given('a block-wise keeper for {limit:d} bytes')
 def make_keeper(context: Context, limit: int) -> None:
     """Make a keeper whose headroom is two fifths."""
-    context.keeper = TaggedAnswers(
+    context.keeper = EtagAnswerStore(
         rng=Random(1), limit_bytes=limit, headroom_bytes=limit * 2 // 5
     )
     context.blocks = []
