--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -27,7 +27,7 @@
     UnknownEpochPolicy,
 )
 from burdocksill.requests.blocks import (
-    AnswerKeeper,
+    AnswerStore,
     EtagAnswerStore,
     Transfers,
 )
@@ -75,7 +75,7 @@
     )
 
 
-def tagged_answers(rng: Random) -> AnswerKeeper:
+def tagged_answers(rng: Random) -> AnswerStore:
     """Make the keeper of answers that are larger than a block."""
     return EtagAnswerStore(rng=rng)
 
@@ -105,7 +105,7 @@
         [MemberView, DocumentStore, Random, HintBook],
         Placer,
     ] = make_placer
-    answers: Callable[[Random], AnswerKeeper] = tagged_answers
+    answers: Callable[[Random], AnswerStore] = tagged_answers
 
     def transfers(self, rng: Random) -> Transfers:
         """Make what one VM holds of answers and bodies in transfer."""
--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -59,7 +59,7 @@
         return sum(len(block) for block in self.blocks.values())
 
 
-class AnswerKeeper(Protocol):
+class AnswerStore(Protocol):
     """Cut answers into blocks and serve the blocks after the first."""
 
     def require_room(self) -> None:
@@ -324,7 +324,7 @@
 class Transfers:
     """Hold one VM's answers and bodies in transfer."""
 
-    answers: AnswerKeeper
+    answers: AnswerStore
     bodies: BodyAssembler = attrs.field(factory=BodyAssembler)
 
     def part(self, flow_id: bytes, request: CallerRequest) -> Answer | None:
