--- a/burdocksill/requests/retries.py
+++ b/burdocksill/requests/retries.py
@@ -13,7 +13,7 @@
 class RetryBudget(Protocol):
     """Decide whether a request that was not run may be retried at once."""
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """Count a success."""
 
     def affords(self) -> bool:
@@ -34,7 +34,7 @@
     share: float = RETRY_SHARE
     tokens: float = LARGEST_BUDGET
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """Count a success."""
         self.tokens = min(self.tokens + self.share, LARGEST_BUDGET)
 
@@ -54,7 +54,7 @@
 class UnlimitedBudget:
     """Allow every retry: the baseline of the control runs."""
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """Count nothing."""
 
     def affords(self) -> bool:
--- a/burdocksill/upstreams/admission.py
+++ b/burdocksill/upstreams/admission.py
@@ -202,7 +202,7 @@
         refusal that is settled here.
         """
         if answer.verdict is Verdict.RAN:
-            self.budget.earn()
+            self.budget.deposit()
             self.flows.use(flow_id, trio.current_time())
         if not self.may_move(flow_id, answer):
             return False
