--- a/burdocksill/requests/retries.py
+++ b/burdocksill/requests/retries.py
@@ -16,7 +16,7 @@
     def deposit(self) -> None:
         """Count a success."""
 
-    def affords(self) -> bool:
+    def has_token(self) -> bool:
         """Return True when one retry would be within the budget."""
 
     def spend(self) -> bool:
@@ -38,13 +38,13 @@
         """Count a success."""
         self.tokens = min(self.tokens + self.share, LARGEST_BUDGET)
 
-    def affords(self) -> bool:
+    def has_token(self) -> bool:
         """Return True when one retry would be within the budget."""
         return self.tokens >= 1
 
     def spend(self) -> bool:
         """Return True when one retry is within the budget."""
-        if not self.affords():
+        if not self.has_token():
             return False
         self.tokens -= 1
         return True
@@ -57,7 +57,7 @@
     def deposit(self) -> None:
         """Count nothing."""
 
-    def affords(self) -> bool:
+    def has_token(self) -> bool:
         """Return True always."""
         return True
 
--- a/burdocksill/upstreams/admission.py
+++ b/burdocksill/upstreams/admission.py
@@ -181,7 +181,7 @@
         now = trio.current_time()
         if self.limiter.free or not self.flows.settled(flow_id, now):
             return False
-        if not self.budget.affords():
+        if not self.budget.has_token():
             return False
         flows = self.flows.count(now)
         max_load = flows / upstream.slots * REBALANCE_FACTOR
