--- a/burdocksill/requests/retries.py
+++ b/burdocksill/requests/retries.py
@@ -19,7 +19,7 @@
     def has_token(self) -> bool:
         """Return True when one retry would be within the budget."""
 
-    def spend(self) -> bool:
+    def withdraw(self) -> bool:
         """Return True when one retry is within the budget."""
 
 
@@ -42,7 +42,7 @@
         """Return True when one retry would be within the budget."""
         return self.tokens >= 1
 
-    def spend(self) -> bool:
+    def withdraw(self) -> bool:
         """Return True when one retry is within the budget."""
         if not self.has_token():
             return False
@@ -61,6 +61,6 @@
         """Return True always."""
         return True
 
-    def spend(self) -> bool:
+    def withdraw(self) -> bool:
         """Return True always."""
         return True
--- a/burdocksill/upstreams/admission.py
+++ b/burdocksill/upstreams/admission.py
@@ -187,7 +187,7 @@
         max_load = flows / upstream.slots * REBALANCE_FACTOR
         if not self.elsewhere(envelope, upstream.name, max_load):
             return False
-        return self.budget.spend()
+        return self.budget.withdraw()
 
     def moves(
         self,
@@ -222,7 +222,7 @@
             return False
         if answer.reason in BUDGETED_MOVES:
             settled = self.flows.settled(flow_id, trio.current_time())
-            return settled and self.budget.spend()
+            return settled and self.budget.withdraw()
         return answer.reason in FREE_MOVES
 
     def count(
