--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -31,7 +31,7 @@
     EtagAnswerStore,
     Transfers,
 )
-from burdocksill.requests.retries import RetryBudget, ShareBudget
+from burdocksill.requests.retries import RatioRetryBudget, RetryBudget
 from burdocksill.requests.window import RequestWindow, TokenWindow
 from burdocksill.upstreams.client import NameVerifier
 from burdocksill.upstreams.departures import AnyWordRule, LeavingRule
@@ -100,7 +100,7 @@
     fence: Callable[[MemberView], Fence] = pause_fence
     limiter: Callable[[Upstream, Random], Limiter] = adaptive_limiter
     leaving_rule: Callable[[DocumentStore], LeavingRule] = make_leaving_rule
-    retry_budget: Callable[[], RetryBudget] = ShareBudget
+    retry_budget: Callable[[], RetryBudget] = RatioRetryBudget
     placer: Callable[
         [MemberView, DocumentStore, Random, HintBook],
         Placer,
--- a/burdocksill/requests/retries.py
+++ b/burdocksill/requests/retries.py
@@ -24,7 +24,7 @@
 
 
 @attrs.define(kw_only=True)
-class ShareBudget:
+class RatioRetryBudget:
     """Allow retries as a share of successes.
 
     When most requests are refused, retries multiply the load that caused the
