--- a/burdocksill/requests/retries.py
+++ b/burdocksill/requests/retries.py
@@ -51,7 +51,7 @@
 
 
 @attrs.define(kw_only=True)
-class UnlimitedBudget:
+class UnlimitedRetryBudget:
     """Allow every retry: the baseline of the control runs."""
 
     def deposit(self) -> None:
--- a/burdocksill_lab/measure_upstreams/variants.py
+++ b/burdocksill_lab/measure_upstreams/variants.py
@@ -10,7 +10,7 @@
 from burdocksill.entry.components import Components
 from burdocksill.flows.placement import Placer, RandomPlacer
 from burdocksill.membership.protocols import MemberView
-from burdocksill.requests.retries import UnlimitedBudget
+from burdocksill.requests.retries import UnlimitedRetryBudget
 from burdocksill.upstreams.hints import HintBook
 from burdocksill.upstreams.limits import FixedLimiter
 from burdocksill.upstreams.protocols import Limiter
@@ -51,11 +51,13 @@
 )
 NO_BUDGET: Final = Variant(
     name='no-budget',
-    components=Components(retry_budget=UnlimitedBudget),
+    components=Components(retry_budget=UnlimitedRetryBudget),
     patient=False,
 )
 NO_BUDGET_NO_RAMP: Final = Variant(
     name='no-budget-no-ramp',
-    components=Components(retry_budget=UnlimitedBudget, limiter=give_all_slots),
+    components=Components(
+        retry_budget=UnlimitedRetryBudget, limiter=give_all_slots
+    ),
     patient=False,
 )
