--- a/burdocksill/callers/display.py
+++ b/burdocksill/callers/display.py
@@ -8,7 +8,7 @@
 from burdocksill.callers.exceptions import CallFailedError
 from burdocksill.callers.feeds import Notification
 from burdocksill.callers.script import Call
-from burdocksill.flows.cookie import FLOW_ID_PLACE
+from burdocksill.flows.cookie import FLOW_ID_SLICE
 from burdocksill.requests.messages import Answer
 
 
@@ -37,7 +37,7 @@
         payload=answer.payload.decode(errors='replace'),
         hops=answer.hops,
         cookie=cookie.hex(),
-        flow=cookie[FLOW_ID_PLACE].hex(),
+        flow=cookie[FLOW_ID_SLICE].hex(),
     )
 
 
@@ -52,7 +52,7 @@
         retry_after_seconds=error.retry_after_seconds,
         hops=error.hops,
         cookie=cookie.hex(),
-        flow=cookie[FLOW_ID_PLACE].hex(),
+        flow=cookie[FLOW_ID_SLICE].hex(),
     )
 
 
--- a/burdocksill/flows/cookie.py
+++ b/burdocksill/flows/cookie.py
@@ -26,7 +26,7 @@
 FLOW_ID_BYTES: Final = 6
 FLOW_ID_START: Final = 1 + 2 * TAG_BYTES + EPOCH_BYTES
 # Where a cookie that this VM sealed itself holds its flow id.
-FLOW_ID_PLACE: Final = slice(FLOW_ID_START, FLOW_ID_START + FLOW_ID_BYTES)
+FLOW_ID_SLICE: Final = slice(FLOW_ID_START, FLOW_ID_START + FLOW_ID_BYTES)
 
 # A request with a cookie older than this is not dispatched.
 COOKIE_LIFETIME_SECONDS: Final = 300
--- a/burdocksill/observe/decisions.py
+++ b/burdocksill/observe/decisions.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from burdocksill.flows.cookie import FLOW_ID_PLACE, Cookie
+from burdocksill.flows.cookie import FLOW_ID_SLICE, Cookie
 from burdocksill.membership.protocols import Member
 from burdocksill.network.protocols import WallClock
 from burdocksill.requests.messages import Answer, Envelope
@@ -101,7 +101,7 @@
                 step=Step.OPENED if opens else Step.ANSWERED,
                 service=envelope.request.service,
                 token=envelope.request.token,
-                flow_id=answer.cookie[FLOW_ID_PLACE] if opens else b'',
+                flow_id=answer.cookie[FLOW_ID_SLICE] if opens else b'',
                 upstream=answer.hops[-1] if owner_answers else '',
                 verdict=answer.verdict.value,
                 reason=answer.reason.value if answer.reason else '',
