--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -233,7 +233,7 @@
         if table.sealed:
             self.refuse_sealed(envelope, cookie)
             return
-        if not envelope.adopted and self.admission.sends_away(
+        if not envelope.may_have_run_elsewhere and self.admission.sends_away(
             envelope,
             cookie.flow_id,
             self.upstream,
@@ -254,7 +254,7 @@
                 partial(self.attempt, envelope, cookie),
             )
         self.settle(table, key, answer)
-        if not envelope.adopted and self.admission.moves(
+        if not envelope.may_have_run_elsewhere and self.admission.moves(
             envelope,
             cookie.flow_id,
             self.upstream,
@@ -339,7 +339,7 @@
                 epoch=current.epoch,
                 issued=int(self.clock.now()),
             )
-            doubtful = attrs.evolve(envelope, adopted=True)
+            doubtful = attrs.evolve(envelope, may_have_run_elsewhere=True)
             await self.serve_held(doubtful, adopted, current)
         else:
             failure = RequestFailedError(
@@ -450,7 +450,7 @@
 
     def finish(self, envelope: Envelope, answer: Answer) -> None:
         """Count an answer and send it with the hops it took."""
-        if envelope.adopted:
+        if envelope.may_have_run_elsewhere:
             answer = doubted(answer, self.unknown_epoch_policy.verdict())
         self.counters.add(
             'answers',
--- a/burdocksill/requests/messages.py
+++ b/burdocksill/requests/messages.py
@@ -102,6 +102,6 @@
     verified: bool = False
     refused: bool = False
     # Another VM held its epoch: it may have run there, whatever is done here.
-    adopted: bool = False
+    may_have_run_elsewhere: bool = False
     # How often this VM has routed the packet again.
     detours: int = 0
