--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -35,7 +35,7 @@
 from burdocksill.requests.window import RequestWindow, TokenWindow
 from burdocksill.upstreams.client import NameVerifier
 from burdocksill.upstreams.departures import AnyWordRule, LeavingRule
-from burdocksill.upstreams.hints import HintBook
+from burdocksill.upstreams.hints import HintTable
 from burdocksill.upstreams.limits import make_limiter
 from burdocksill.upstreams.protocols import IdentityVerifier, Limiter
 
@@ -64,7 +64,7 @@
     members: MemberView,
     store: DocumentStore,
     rng: Random,
-    hints: HintBook,
+    hints: HintTable,
 ) -> Placer:
     """Make what chooses the upstream of a new flow."""
     return TwoChoicePlacer(
@@ -102,7 +102,7 @@
     leaving_rule: Callable[[DocumentStore], LeavingRule] = make_leaving_rule
     retry_budget: Callable[[], RetryBudget] = RatioRetryBudget
     placer: Callable[
-        [MemberView, DocumentStore, Random, HintBook],
+        [MemberView, DocumentStore, Random, HintTable],
         Placer,
     ] = make_placer
     answers: Callable[[Random], AnswerStore] = tagged_answers
--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -37,7 +37,7 @@
 from burdocksill.peers.messages import RelayRequest
 from burdocksill.platform.protocols import Platform
 from burdocksill.upstreams.departures import LeavingRule
-from burdocksill.upstreams.hints import HintBook
+from burdocksill.upstreams.hints import HintTable
 
 
 @attrs.define(kw_only=True)
@@ -58,7 +58,7 @@
     owners: OwnerTable = attrs.field(init=False)
     router: Router = attrs.field(init=False)
     leaving_rule: LeavingRule = attrs.field(init=False)
-    hints: HintBook = attrs.field(init=False)
+    hints: HintTable = attrs.field(init=False)
     builder: UpstreamBuilder = attrs.field(init=False)
     fence: Fence = attrs.field(init=False)
     serving: trio.Event = attrs.field(factory=trio.Event)
@@ -124,7 +124,7 @@
             make_window=self.components.window,
             successor_policy=self.components.successor_policy(),
         )
-        self.hints = HintBook(own=self.owners.hints)
+        self.hints = HintTable(own=self.owners.hints)
         self.fleet.hints.source = self.hints
         self.fleet.hints.sink = self.hints
         self.router = Router(
--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -10,7 +10,7 @@
 from burdocksill.documents.store import DocumentStore
 from burdocksill.membership.protocols import Member, MemberView
 from burdocksill.ownership.rendezvous import owner_of
-from burdocksill.upstreams.hints import HeldHint, HintBook
+from burdocksill.upstreams.hints import HeldHint, HintTable
 
 # Another failure domain is taken only when its upstream has this much less
 # load than the best of our own: near ones are kept while they are no worse.
@@ -70,7 +70,7 @@
     members: MemberView
     store: DocumentStore
     rng: Random
-    hints: HintBook
+    hints: HintTable
 
     def place(
         self,
--- a/burdocksill/upstreams/hints.py
+++ b/burdocksill/upstreams/hints.py
@@ -30,7 +30,7 @@
 
 
 @attrs.define(kw_only=True)
-class HintBook:
+class HintTable:
     """Implement HintSource and HintSink on one VM."""
 
     # Returns the hints of the upstreams that this VM owns now.
--- a/burdocksill_lab/measure_upstreams/variants.py
+++ b/burdocksill_lab/measure_upstreams/variants.py
@@ -11,7 +11,7 @@
 from burdocksill.flows.placement import Placer, RandomPlacer
 from burdocksill.membership.protocols import MemberView
 from burdocksill.requests.retries import UnlimitedRetryBudget
-from burdocksill.upstreams.hints import HintBook
+from burdocksill.upstreams.hints import HintTable
 from burdocksill.upstreams.limits import FixedLimiter
 from burdocksill.upstreams.protocols import Limiter
 
@@ -20,7 +20,7 @@
     members: MemberView,
     store: DocumentStore,
     rng: Random,
-    hints: HintBook,
+    hints: HintTable,
 ) -> Placer:
     """Make the placement that looks at nothing."""
     return RandomPlacer(members=members, store=store, rng=rng)
--- a/tests/steps/entry_containment.py
+++ b/tests/steps/entry_containment.py
@@ -17,7 +17,7 @@
 from burdocksill.membership.protocols import Member, MemberView
 from burdocksill.network.protocols import Address
 from burdocksill.requests.dispatch import DeadlineDispatcher
-from burdocksill.upstreams.hints import HintBook
+from burdocksill.upstreams.hints import HintTable
 from burdocksill_lab.fakes.clock import START
 from burdocksill_lab.fakes.deterministic import run_seeded
 from burdocksill_lab.fakes.world import World, open_world
@@ -128,7 +128,7 @@
     members: MemberView,
     store: DocumentStore,
     rng: Random,
-    hints: HintBook,
+    hints: HintTable,
 ) -> CirclingPlacer:
     """Make a placer whose owner carries this VM's name and another tag."""
     ghost = attrs.evolve(members.itself, domain='elsewhere')
