--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -10,7 +10,7 @@
 from burdocksill.documents.store import DocumentStore
 from burdocksill.membership.protocols import Member, MemberView
 from burdocksill.ownership.rendezvous import owner_of
-from burdocksill.upstreams.hints import HeldHint, HintTable
+from burdocksill.upstreams.hints import HintTable, ReceivedHint
 
 # Another failure domain is taken only when its upstream has this much less
 # load than the best of our own: near ones are kept while they are no worse.
@@ -136,7 +136,7 @@
         """Return the live member that owns an upstream."""
         return find_owner(self.members, service, upstream)
 
-    def load(self, held: HeldHint | None, upstream: Upstream) -> float:
+    def load(self, held: ReceivedHint | None, upstream: Upstream) -> float:
         """Return an upstream's flows for each of its slots."""
         if held is None:
             return 0
@@ -190,7 +190,7 @@
     return not upstream.draining and not store.is_out(upstream.domain)
 
 
-def has_capacity(held: HeldHint | None) -> bool:
+def has_capacity(held: ReceivedHint | None) -> bool:
     """Return True unless a hint says that new flows are not wanted."""
     if held is None:
         return True
--- a/burdocksill/upstreams/hints.py
+++ b/burdocksill/upstreams/hints.py
@@ -21,7 +21,7 @@
 
 
 @attrs.define(kw_only=True)
-class HeldHint:
+class ReceivedHint:
     """Hold a hint, when it came, and what was placed here since."""
 
     hint: UpstreamHint
@@ -35,7 +35,7 @@
 
     # Returns the hints of the upstreams that this VM owns now.
     own: Callable[[], tuple[UpstreamHint, ...]]
-    held: dict[HintKey, HeldHint] = attrs.field(factory=dict)
+    held: dict[HintKey, ReceivedHint] = attrs.field(factory=dict)
 
     def hints(self) -> tuple[UpstreamHint, ...]:
         """Return one hint for each owned upstream."""
@@ -46,9 +46,9 @@
         now = trio.current_time()
         for hint in hints:
             key = HintKey(service=hint.service, upstream=hint.upstream)
-            self.held[key] = HeldHint(hint=hint, at=now)
+            self.held[key] = ReceivedHint(hint=hint, at=now)
 
-    def find(self, service: str, upstream: str) -> HeldHint | None:
+    def find(self, service: str, upstream: str) -> ReceivedHint | None:
         """Return a hint that is fresh enough to say something."""
         key = HintKey(service=service, upstream=upstream)
         held = self.held.get(key)
