--- a/burdocksill/membership/hints.py
+++ b/burdocksill/membership/hints.py
@@ -174,7 +174,7 @@
         if len(self.kept) > KEPT:
             self.kept.popitem(last=False)
         if self.sink is not None:
-            self.sink.take_hints(owner.name, (hint,))
+            self.sink.store_hints(owner.name, (hint,))
 
 
 def age_steps(seconds: float) -> int:
--- a/burdocksill/upstreams/hints.py
+++ b/burdocksill/upstreams/hints.py
@@ -41,7 +41,7 @@
         """Return one hint for each owned upstream."""
         return self.own()
 
-    def take_hints(self, owner: str, hints: tuple[UpstreamHint, ...]) -> None:
+    def store_hints(self, owner: str, hints: tuple[UpstreamHint, ...]) -> None:
         """Remember the hints of one owner."""
         now = trio.current_time()
         for hint in hints:
@@ -60,7 +60,7 @@
 
     def refresh_own(self) -> None:
         """Take this VM's own upstreams as they are now."""
-        self.take_hints('', self.own())
+        self.store_hints('', self.own())
 
     def count_placed(self, service: str, upstream: str) -> None:
         """Remember a placement that the hint can't show yet."""
--- a/burdocksill/upstreams/protocols.py
+++ b/burdocksill/upstreams/protocols.py
@@ -98,5 +98,5 @@
 class HintSink(Protocol):
     """Take what other owners tell of their upstreams."""
 
-    def take_hints(self, owner: str, hints: tuple[UpstreamHint, ...]) -> None:
+    def store_hints(self, owner: str, hints: tuple[UpstreamHint, ...]) -> None:
         """Remember the hints of one owner."""
