--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -97,7 +97,7 @@
         if chosen is None:
             return None
         name = chosen.placement.upstream.name
-        self.hints.count_placed(document.service, name)
+        self.hints.record_placement(document.service, name)
         return chosen.placement
 
     def choose(self, found: list[Candidate]) -> Candidate | None:
--- a/burdocksill/upstreams/hints.py
+++ b/burdocksill/upstreams/hints.py
@@ -62,7 +62,7 @@
         """Take this VM's own upstreams as they are now."""
         self.store_hints('', self.own())
 
-    def count_placed(self, service: str, upstream: str) -> None:
+    def record_placement(self, service: str, upstream: str) -> None:
         """Remember a placement that the hint can't show yet."""
         held = self.held.get(HintKey(service=service, upstream=upstream))
         if held is not None:
