--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -80,7 +80,7 @@
         max_load: float = NO_LOAD_LIMIT,
     ) -> Placement | None:
         """Return a choice outside the upstreams to avoid, None without one."""
-        self.hints.refresh_own()
+        self.hints.refresh_local()
         found = self.candidates(document, exclude)
         if math.isfinite(max_load):
             found = [one for one in found if one.roomy and one.load < max_load]
--- a/burdocksill/upstreams/hints.py
+++ b/burdocksill/upstreams/hints.py
@@ -58,7 +58,7 @@
             return None
         return held
 
-    def refresh_own(self) -> None:
+    def refresh_local(self) -> None:
         """Take this VM's own upstreams as they are now."""
         self.store_hints('', self.own())
 
