--- a/burdocksill/entry/upstreams.py
+++ b/burdocksill/entry/upstreams.py
@@ -15,7 +15,7 @@
 from burdocksill.upstreams.admission import Admission, Elsewhere
 from burdocksill.upstreams.client import VerifiedClient
 from burdocksill.upstreams.departures import LeavingRule
-from burdocksill.upstreams.flows import FlowBook
+from burdocksill.upstreams.flows import FlowCounter
 
 
 @attrs.frozen(kw_only=True)
@@ -59,7 +59,7 @@
             service=document.service,
             client=client,
             limiter=limiter,
-            flows=FlowBook(lifetime_seconds=COOKIE_LIFETIME_SECONDS),
+            flows=FlowCounter(lifetime_seconds=COOKIE_LIFETIME_SECONDS),
             leaving_rule=self.leaving_rule,
             members=self.members,
             budget=self.budget(document.service),
--- a/burdocksill/upstreams/admission.py
+++ b/burdocksill/upstreams/admission.py
@@ -15,7 +15,7 @@
 from burdocksill.requests.retries import RetryBudget
 from burdocksill.requests.verdict import Reason, Verdict
 from burdocksill.upstreams.departures import LeavingRule
-from burdocksill.upstreams.flows import FlowBook
+from burdocksill.upstreams.flows import FlowCounter
 from burdocksill.upstreams.messages import UpstreamHint
 from burdocksill.upstreams.protocols import Limiter, UpstreamClient
 
@@ -53,7 +53,7 @@
     service: str
     client: UpstreamClient
     limiter: Limiter
-    flows: FlowBook
+    flows: FlowCounter
     leaving_rule: LeavingRule
     members: MemberView
     budget: RetryBudget
--- a/burdocksill/upstreams/flows.py
+++ b/burdocksill/upstreams/flows.py
@@ -11,7 +11,7 @@
 
 
 @attrs.define(kw_only=True)
-class FlowBook:
+class FlowCounter:
     """Count flows against the document's connections.
 
     A flow counts until its newest cookie has run out: callers never say
--- a/tests/steps/upstreams_flow_book.py
+++ b/tests/steps/upstreams_flow_book.py
@@ -3,13 +3,13 @@
 from behave import given, then, when
 from behave.runner import Context
 
-from burdocksill.upstreams.flows import FlowBook
+from burdocksill.upstreams.flows import FlowCounter
 
 
 @given('a flow book whose cookies last {seconds:d} seconds')
 def open_book(context: Context, seconds: int) -> None:
     """Make an empty book."""
-    context.book = FlowBook(lifetime_seconds=seconds)
+    context.book = FlowCounter(lifetime_seconds=seconds)
 
 
 @when('the flows "{names}" are opened at {now:d} seconds')
--- a/tests/steps/upstreams_limits.py
+++ b/tests/steps/upstreams_limits.py
@@ -10,7 +10,7 @@
 from burdocksill.requests.exceptions import RequestFailedError
 from burdocksill.requests.verdict import Reason, Verdict
 from burdocksill.upstreams.exceptions import ConnectionSilentError
-from burdocksill.upstreams.flows import FlowBook
+from burdocksill.upstreams.flows import FlowCounter
 from burdocksill.upstreams.limits import AdaptiveLimiter, make_limiter
 from burdocksill_lab.fakes.deterministic import run_seeded
 from burdocksill_lab.fakes.world import World, open_world
@@ -317,7 +317,7 @@
 def plan_book(context: Context, connections: int) -> None:
     """Make a book."""
     context.connections = connections
-    context.book = FlowBook(lifetime_seconds=300)
+    context.book = FlowCounter(lifetime_seconds=300)
 
 
 def admit(context: Context, *, foreign: bool) -> int:
