--- a/burdocksill/upstreams/admission.py
+++ b/burdocksill/upstreams/admission.py
@@ -179,7 +179,7 @@
         flow that has only just come stays: owners would send it round.
         """
         now = trio.current_time()
-        if self.limiter.free or not self.flows.settled(flow_id, now):
+        if self.limiter.free or not self.flows.established(flow_id, now):
             return False
         if not self.budget.has_token():
             return False
@@ -221,7 +221,7 @@
         if answer.verdict is not Verdict.NOT_RUN:
             return False
         if answer.reason in BUDGETED_MOVES:
-            settled = self.flows.settled(flow_id, trio.current_time())
+            settled = self.flows.established(flow_id, trio.current_time())
             return settled and self.budget.withdraw()
         return answer.reason in FREE_MOVES
 
--- a/burdocksill/upstreams/flows.py
+++ b/burdocksill/upstreams/flows.py
@@ -36,7 +36,7 @@
         self.close(flow_id)
         self.used[flow_id] = now + self.lifetime_seconds
 
-    def settled(self, flow_id: bytes, now: float) -> bool:
+    def established(self, flow_id: bytes, now: float) -> bool:
         """Return True for a flow that has sent a request here before."""
         return self.used.get(flow_id, 0) - now > UNUSED_SECONDS
 
--- a/tests/steps/upstreams_limits.py
+++ b/tests/steps/upstreams_limits.py
@@ -347,4 +347,4 @@
 def check_established(context: Context) -> None:
     """Use a flow that the book has forgotten."""
     context.book.use(b'old', 0)
-    assert context.book.settled(b'old', 0)
+    assert context.book.established(b'old', 0)
