--- a/burdocksill/upstreams/admission.py
+++ b/burdocksill/upstreams/admission.py
@@ -203,7 +203,7 @@
         """
         if answer.verdict is Verdict.RAN:
             self.budget.deposit()
-            self.flows.use(flow_id, trio.current_time())
+            self.flows.record_request(flow_id, trio.current_time())
         if not self.may_move(flow_id, answer):
             return False
         if not self.elsewhere(envelope, upstream.name):
--- a/burdocksill/upstreams/flows.py
+++ b/burdocksill/upstreams/flows.py
@@ -31,7 +31,7 @@
         self.close(flow_id)
         self.unused[flow_id] = now + UNUSED_SECONDS
 
-    def use(self, flow_id: bytes, now: float) -> None:
+    def record_request(self, flow_id: bytes, now: float) -> None:
         """Count a flow for another cookie's lifetime."""
         self.close(flow_id)
         self.used[flow_id] = now + self.lifetime_seconds
--- a/tests/steps/upstreams_flow_book.py
+++ b/tests/steps/upstreams_flow_book.py
@@ -22,7 +22,7 @@
 @when('the flow "{name}" is used at {now:d} seconds')
 def use_flow(context: Context, name: str, now: int) -> None:
     """Use a flow."""
-    context.book.use(name.encode(), now)
+    context.book.record_request(name.encode(), now)
 
 
 @when('the flows "{names}" are closed')
--- a/tests/steps/upstreams_limits.py
+++ b/tests/steps/upstreams_limits.py
@@ -346,5 +346,5 @@
 @then('an established flow of the flow book is never refused')
 def check_established(context: Context) -> None:
     """Use a flow that the book has forgotten."""
-    context.book.use(b'old', 0)
+    context.book.record_request(b'old', 0)
     assert context.book.established(b'old', 0)
