--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -34,7 +34,7 @@
 from burdocksill.requests.retries import RatioRetryBudget, RetryBudget
 from burdocksill.requests.window import RequestWindow, TokenWindow
 from burdocksill.upstreams.client import NameVerifier
-from burdocksill.upstreams.departures import AnyWordRule, LeavingRule
+from burdocksill.upstreams.departures import AnySourceRule, LeavingRule
 from burdocksill.upstreams.hints import HintTable
 from burdocksill.upstreams.limits import make_limiter
 from burdocksill.upstreams.protocols import IdentityVerifier, Limiter
@@ -57,7 +57,7 @@
 
 def make_leaving_rule(store: DocumentStore) -> LeavingRule:
     """Make what decides whether an upstream leaves."""
-    return AnyWordRule(store=store)
+    return AnySourceRule(store=store)
 
 
 def make_placer(
--- a/burdocksill/upstreams/departures.py
+++ b/burdocksill/upstreams/departures.py
@@ -16,7 +16,7 @@
 
 
 @attrs.define(kw_only=True)
-class AnyWordRule:
+class AnySourceRule:
     """Believe the document, the upstream itself and the platform's list.
 
     The list lags and the platform has outages. So any one word is enough, and
