--- a/burdocksill/upstreams/departures.py
+++ b/burdocksill/upstreams/departures.py
@@ -32,7 +32,7 @@
 
 
 @attrs.define(kw_only=True)
-class NeverLeaving:
+class NeverLeavingRule:
     """Take no notice of anyone: the baseline of the control runs."""
 
     store: DocumentStore
--- a/burdocksill_lab/proofs/upstream_leaving.py
+++ b/burdocksill_lab/proofs/upstream_leaving.py
@@ -9,7 +9,7 @@
 from burdocksill.entry.components import Components
 from burdocksill.platform.protocols import VmRecord, VmState
 from burdocksill.requests.verdict import Verdict
-from burdocksill.upstreams.departures import NeverLeaving
+from burdocksill.upstreams.departures import NeverLeavingRule
 from burdocksill.upstreams.health import HealthState
 from burdocksill_lab.fakes.deterministic import run_seeded
 from burdocksill_lab.fakes.world import World, open_world
@@ -157,7 +157,7 @@
         components = Components()
         if control:
             components = Components(
-                leaving_rule=lambda store: NeverLeaving(store=store),
+                leaving_rule=lambda store: NeverLeavingRule(store=store),
             )
 
         async def story() -> ProofResult:
