--- a/burdocksill/upstreams/admission.py
+++ b/burdocksill/upstreams/admission.py
@@ -62,7 +62,7 @@
 
     def leaving(self, upstream: Upstream) -> bool:
         """Return True when an upstream gets no new work."""
-        return self.leaving_rule.leaves(upstream, told=self.client.leaving)
+        return self.leaving_rule.is_leaving(upstream, told=self.client.leaving)
 
     def hint(self, upstream: Upstream) -> UpstreamHint:
         """Return what other VMs may know of an upstream."""
--- a/burdocksill/upstreams/departures.py
+++ b/burdocksill/upstreams/departures.py
@@ -11,7 +11,7 @@
 class LeavingRule(Protocol):
     """Decide whether an upstream gets no new work."""
 
-    def leaves(self, upstream: Upstream, *, told: bool) -> bool:
+    def is_leaving(self, upstream: Upstream, *, told: bool) -> bool:
         """Return True when it leaves; `told` is the upstream's own word."""
 
 
@@ -25,7 +25,7 @@
 
     store: DocumentStore
 
-    def leaves(self, upstream: Upstream, *, told: bool) -> bool:
+    def is_leaving(self, upstream: Upstream, *, told: bool) -> bool:
         """Return True when any of the three says so."""
         listed = upstream.host in self.store.departing
         return upstream.draining or told or listed
@@ -37,6 +37,6 @@
 
     store: DocumentStore
 
-    def leaves(self, upstream: Upstream, *, told: bool) -> bool:
+    def is_leaving(self, upstream: Upstream, *, told: bool) -> bool:
         """Return False always."""
         return False
