--- a/burdocksill/entry/upstreams.py
+++ b/burdocksill/entry/upstreams.py
@@ -12,7 +12,7 @@
 from burdocksill.observe.counters import Counters
 from burdocksill.requests.dispatch import DeadlineDispatcher
 from burdocksill.requests.retries import RetryBudget
-from burdocksill.upstreams.admission import Admission, Elsewhere
+from burdocksill.upstreams.admission import Admission, FlowRerouter
 from burdocksill.upstreams.client import VerifiedClient
 from burdocksill.upstreams.departures import LeavingRule
 from burdocksill.upstreams.flows import FlowCounter
@@ -37,7 +37,7 @@
     counters: Counters
     rng: Random
     leaving_rule: LeavingRule
-    elsewhere: Elsewhere
+    elsewhere: FlowRerouter
     budgets: dict[str, RetryBudget] = attrs.field(factory=dict)
 
     def build(
--- a/burdocksill/upstreams/admission.py
+++ b/burdocksill/upstreams/admission.py
@@ -34,7 +34,7 @@
 REBALANCE_FACTOR: Final = 0.75
 
 
-class Elsewhere(Protocol):
+class FlowRerouter(Protocol):
     """Open a flow at another upstream than the one named."""
 
     def __call__(
@@ -57,7 +57,7 @@
     leaving_rule: LeavingRule
     members: MemberView
     budget: RetryBudget
-    elsewhere: Elsewhere
+    elsewhere: FlowRerouter
     counters: Counters
 
     def leaving(self, upstream: Upstream) -> bool:
