--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -154,7 +154,7 @@
             counters=self.counters,
             rng=self.rng,
             leaving_rule=self.leaving_rule,
-            elsewhere=self.router.move,
+            reroute=self.router.move,
         )
         self.fence = self.components.fence(self.membership)
         self.route_messages(channel)
--- a/burdocksill/entry/upstreams.py
+++ b/burdocksill/entry/upstreams.py
@@ -37,7 +37,7 @@
     counters: Counters
     rng: Random
     leaving_rule: LeavingRule
-    elsewhere: FlowRerouter
+    reroute: FlowRerouter
     budgets: dict[str, RetryBudget] = attrs.field(factory=dict)
 
     def build(
@@ -63,7 +63,7 @@
             leaving_rule=self.leaving_rule,
             members=self.members,
             budget=self.budget(document.service),
-            elsewhere=self.elsewhere,
+            reroute=self.reroute,
             counters=self.counters,
         )
         return UpstreamParts(
--- a/burdocksill/upstreams/admission.py
+++ b/burdocksill/upstreams/admission.py
@@ -57,7 +57,7 @@
     leaving_rule: LeavingRule
     members: MemberView
     budget: RetryBudget
-    elsewhere: FlowRerouter
+    reroute: FlowRerouter
     counters: Counters
 
     def leaving(self, upstream: Upstream) -> bool:
@@ -101,7 +101,7 @@
         reason = self.unwilling(envelope, upstream)
         if reason is None:
             return False
-        if self.elsewhere(envelope, upstream.name):
+        if self.reroute(envelope, upstream.name):
             self.count('flows_sent_elsewhere', upstream, reason)
             return True
         if reason in FINAL_REASONS:
@@ -156,7 +156,7 @@
         """Open a flow elsewhere whose request would have to wait here."""
         if self.limiter.paused:
             # The upstream is not asked at all, so this adds no load to it.
-            sent = self.elsewhere(envelope, upstream.name)
+            sent = self.reroute(envelope, upstream.name)
             reason = Reason.UPSTREAM_SHED
         else:
             sent = self.rebalances(envelope, flow_id, upstream)
@@ -185,7 +185,7 @@
             return False
         flows = self.flows.count(now)
         max_load = flows / upstream.slots * REBALANCE_FACTOR
-        if not self.elsewhere(envelope, upstream.name, max_load):
+        if not self.reroute(envelope, upstream.name, max_load):
             return False
         return self.budget.withdraw()
 
@@ -206,7 +206,7 @@
             self.flows.record_request(flow_id, trio.current_time())
         if not self.may_move(flow_id, answer):
             return False
-        if not self.elsewhere(envelope, upstream.name):
+        if not self.reroute(envelope, upstream.name):
             return False
         self.flows.close(flow_id)
         self.count('flows_moved', upstream, answer.reason)
