--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -116,7 +116,7 @@
             return
         for table in tables:
             owned.epochs.inherit(table)
-        owned.admission.take_over(
+        owned.admission.resume_from_handover(
             running=still_running(tables),
             seconds=owned.document.deadline_seconds,
             limit=part.limit,
--- a/burdocksill/upstreams/admission.py
+++ b/burdocksill/upstreams/admission.py
@@ -76,7 +76,7 @@
             flows=self.flows.count(trio.current_time()),
         )
 
-    def take_over(
+    def resume_from_handover(
         self,
         *,
         running: list[bytes],
