--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -169,7 +169,7 @@
             self.pass_on(envelope, upstream=self.upstream.name)
             return
         try:
-            if self.admission.open_flow(envelope, self.upstream):
+            if self.admission.reroute_new_flow(envelope, self.upstream):
                 return
         except RequestFailedError as failure:
             self.finish(envelope, refusal(failure))
--- a/burdocksill/upstreams/admission.py
+++ b/burdocksill/upstreams/admission.py
@@ -93,7 +93,7 @@
         if instance and instance == self.client.instance:
             self.limiter.resume(limit)
 
-    def open_flow(self, envelope: Envelope, upstream: Upstream) -> bool:
+    def reroute_new_flow(self, envelope: Envelope, upstream: Upstream) -> bool:
         """Send a new flow elsewhere; return False when it stays here.
 
         Raise RequestFailedError (not run) when it can't be anywhere.
