--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -233,10 +233,13 @@
         if table.sealed:
             self.refuse_sealed(envelope, cookie)
             return
-        if not envelope.may_have_run_elsewhere and self.admission.sends_away(
-            envelope,
-            cookie.flow_id,
-            self.upstream,
+        if (
+            not envelope.may_have_run_elsewhere
+            and self.admission.reroute_before_queueing(
+                envelope,
+                cookie.flow_id,
+                self.upstream,
+            )
         ):
             # Settled in the same step: no copy can be dispatched any more.
             self.settle(table, key, OVERLOADED)
--- a/burdocksill/upstreams/admission.py
+++ b/burdocksill/upstreams/admission.py
@@ -147,7 +147,7 @@
                 reason=Reason.UPSTREAM_LEAVING,
             )
 
-    def sends_away(
+    def reroute_before_queueing(
         self,
         envelope: Envelope,
         flow_id: bytes,
