--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -257,11 +257,14 @@
                 partial(self.attempt, envelope, cookie),
             )
         self.settle(table, key, answer)
-        if not envelope.may_have_run_elsewhere and self.admission.moves(
-            envelope,
-            cookie.flow_id,
-            self.upstream,
-            answer,
+        if (
+            not envelope.may_have_run_elsewhere
+            and self.admission.reroute_after_refusal(
+                envelope,
+                cookie.flow_id,
+                self.upstream,
+                answer,
+            )
         ):
             return
         self.finish(envelope, answer)
--- a/burdocksill/upstreams/admission.py
+++ b/burdocksill/upstreams/admission.py
@@ -189,7 +189,7 @@
             return False
         return self.budget.withdraw()
 
-    def moves(
+    def reroute_after_refusal(
         self,
         envelope: Envelope,
         flow_id: bytes,
