--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -395,7 +395,7 @@
         flow_id = cookie.flow_id
         request = self.transfers.whole_request(flow_id, envelope.request)
         self.fence.check()
-        self.admission.check_leaving(self.upstream)
+        self.admission.refuse_if_leaving(self.upstream)
         answer = await self.dispatcher.dispatch(
             request,
             flow_id=flow_id,
--- a/burdocksill/upstreams/admission.py
+++ b/burdocksill/upstreams/admission.py
@@ -139,7 +139,7 @@
         first = self.members.find(name_tag(envelope.hops[0]))
         return first is not None and first.domain != upstream.domain
 
-    def check_leaving(self, upstream: Upstream) -> None:
+    def refuse_if_leaving(self, upstream: Upstream) -> None:
         """Raise RequestFailedError (not run) when an upstream leaves."""
         if self.leaving(upstream):
             raise RequestFailedError(
