--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -168,7 +168,7 @@
             return
         key = RequestKey(entry.key)
         if owned is not None:
-            owned.admission.limiter.settle_adopted(key)
+            owned.admission.limiter.release_inherited(key)
         table.window.settle(key, entry.answer, now=trio.current_time())
         self.table.peers.send(
             HandoverSettledAck(epoch=entry.epoch, key=entry.key),
--- a/burdocksill/upstreams/limits.py
+++ b/burdocksill/upstreams/limits.py
@@ -233,7 +233,7 @@
         """Count requests that the owner before still has in progress."""
         self.unseen.adopt(running, trio.current_time() + seconds)
 
-    def settle_adopted(self, key: bytes) -> None:
+    def release_inherited(self, key: bytes) -> None:
         """Stop counting one request of the owner before: it has ended."""
         self.unseen.settle(key)
         self.admit_waiting()
@@ -299,7 +299,7 @@
     def adopt(self, running: Iterable[bytes], *, seconds: float) -> None:
         """Take no notice of what the owner before has in progress."""
 
-    def settle_adopted(self, key: bytes) -> None:
+    def release_inherited(self, key: bytes) -> None:
         """Count nothing that the owner before had in progress."""
 
     def take_report(self, bearable: int) -> None:
--- a/burdocksill/upstreams/protocols.py
+++ b/burdocksill/upstreams/protocols.py
@@ -81,7 +81,7 @@
     def adopt(self, running: Iterable[bytes], *, seconds: float) -> None:
         """Count requests that the owner before still has in progress."""
 
-    def settle_adopted(self, key: bytes) -> None:
+    def release_inherited(self, key: bytes) -> None:
         """Stop counting one request of the owner before: it has ended."""
 
     def take_report(self, bearable: int) -> None:
