--- a/burdocksill/upstreams/admission.py
+++ b/burdocksill/upstreams/admission.py
@@ -89,7 +89,7 @@
         Its requests in progress still hold slots. Its limit counts only if
         the upstream has not become another instance meanwhile: that is cold.
         """
-        self.limiter.adopt(running, seconds=seconds)
+        self.limiter.add_inherited(running, seconds=seconds)
         if instance and instance == self.client.instance:
             self.limiter.resume(limit)
 
--- a/burdocksill/upstreams/limits.py
+++ b/burdocksill/upstreams/limits.py
@@ -229,9 +229,11 @@
         self.ramp.begin_step(trio.current_time())
         self.admit_waiting()
 
-    def adopt(self, running: Iterable[bytes], *, seconds: float) -> None:
+    def add_inherited(
+        self, running: Iterable[bytes], *, seconds: float
+    ) -> None:
         """Count requests that the owner before still has in progress."""
-        self.unseen.adopt(running, trio.current_time() + seconds)
+        self.unseen.add_inherited(running, trio.current_time() + seconds)
 
     def release_inherited(self, key: bytes) -> None:
         """Stop counting one request of the owner before: it has ended."""
@@ -296,7 +298,9 @@
     def resume(self, limit: int) -> None:
         """Take no notice of a handed-over limit."""
 
-    def adopt(self, running: Iterable[bytes], *, seconds: float) -> None:
+    def add_inherited(
+        self, running: Iterable[bytes], *, seconds: float
+    ) -> None:
         """Take no notice of what the owner before has in progress."""
 
     def release_inherited(self, key: bytes) -> None:
--- a/burdocksill/upstreams/protocols.py
+++ b/burdocksill/upstreams/protocols.py
@@ -78,7 +78,9 @@
     def resume(self, limit: int) -> None:
         """Go on from the limit that the owner before handed over."""
 
-    def adopt(self, running: Iterable[bytes], *, seconds: float) -> None:
+    def add_inherited(
+        self, running: Iterable[bytes], *, seconds: float
+    ) -> None:
         """Count requests that the owner before still has in progress."""
 
     def release_inherited(self, key: bytes) -> None:
--- a/burdocksill/upstreams/unseen.py
+++ b/burdocksill/upstreams/unseen.py
@@ -28,7 +28,7 @@
         """Count a request whose connection fell silent."""
         self.orphans.append(until)
 
-    def adopt(self, running: Iterable[bytes], until: float) -> None:
+    def add_inherited(self, running: Iterable[bytes], until: float) -> None:
         """Count requests that the owner before has in progress."""
         self.adopted.update(dict.fromkeys(running, until))
 
