--- a/burdocksill/callers/session.py
+++ b/burdocksill/callers/session.py
@@ -87,7 +87,7 @@
     rng: Random
     wants_hops: bool = False
     cookie: bytes = b''
-    cookie_at: float = 0
+    cookie_received_at: float = 0
     pending: dict[bytes, AnswerTaker] = attrs.field(factory=dict)
     block_trip: RoundTrip = attrs.field(factory=RoundTrip)
 
@@ -216,7 +216,7 @@
 
     async def freshen_cookie(self, request: CallerRequest) -> None:
         """Exchange an ageing cookie before a request that may run once."""
-        age = trio.current_time() - self.cookie_at
+        age = trio.current_time() - self.cookie_received_at
         if request.idempotent or not self.cookie or age < FRESH_COOKIE_SECONDS:
             return
         exchange = self.new_request('GET', COOKIE_PATH, b'', 0)
@@ -228,7 +228,7 @@
             # A refusal without a cookie says that the one we hold leads
             # nowhere any more: the next request starts afresh.
             self.cookie = answer.cookie
-            self.cookie_at = trio.current_time()
+            self.cookie_received_at = trio.current_time()
 
     def new_request(
         self,
--- a/tests/steps/entry_containment.py
+++ b/tests/steps/entry_containment.py
@@ -183,7 +183,7 @@
                     service=SERVICE,
                     cookie=cookie,
                 )
-                session.cookie_at = trio.current_time()
+                session.cookie_received_at = trio.current_time()
                 context.first_failed = await call(session, 'POST', 'returns')
                 context.next_failed = await call(session, 'POST', 'returns')
 
