--- a/tests/steps/packets_start.py
+++ b/tests/steps/packets_start.py
@@ -273,14 +273,14 @@
 @when('starts are measured up to their first packet')
 def measure_first_packets(context: Context) -> None:
     """Start nodes beside bare interpreters."""
-    context.start_seconds, context.bare_seconds = measure(ROOT, MEASURED)
+    context.start_seconds, context.interpreter_seconds = measure(ROOT, MEASURED)
 
 
 @then('they take at most {most:d} times a bare interpreter')
 def check_first_packets(context: Context, most: int) -> None:
     """Compare the medians."""
-    times = context.start_seconds / context.bare_seconds
-    assert times <= most, (context.start_seconds, context.bare_seconds)
+    times = context.start_seconds / context.interpreter_seconds
+    assert times <= most, (context.start_seconds, context.interpreter_seconds)
 
 
 @given('what decides about packets, and a packet that waits')
--- a/tools/start_cost.py
+++ b/tools/start_cost.py
@@ -172,7 +172,7 @@
     }
 
 
-def bare_seconds(folder: Path) -> float:
+def interpreter_seconds(folder: Path) -> float:
     """Return the processor seconds of an interpreter that does nothing."""
     before = resource.getrusage(resource.RUSAGE_CHILDREN)
     subprocess.run(
@@ -200,7 +200,7 @@
             starts.append(
                 first_packet_seconds(folder, tree, server.server_port),
             )
-            bare.append(bare_seconds(folder))
+            bare.append(interpreter_seconds(folder))
     server.shutdown()
     server.server_close()
     return statistics.median(starts), statistics.median(bare)
