--- a/burdocksill/packets/isolation.py
+++ b/burdocksill/packets/isolation.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Callable
 
-from burdocksill.packets.outages import Outages, nothing
+from burdocksill.packets.outages import Outages, ignore_event
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -52,7 +52,7 @@
         # Until when the store counts as out of reach.
         self.silent_until = float('-inf')
         # Called while only the store can tell whether this is a cut.
-        self.on_suspicion: Callable[[], None] = nothing
+        self.on_suspicion: Callable[[], None] = ignore_event
 
     def holds(self, now: float) -> bool:
         """Return True when new flows have nowhere to go but home."""
--- a/burdocksill/packets/outages.py
+++ b/burdocksill/packets/outages.py
@@ -46,7 +46,7 @@
 logger = EarlyLogger(__name__)
 
 
-def nothing() -> None:
+def ignore_event() -> None:
     """Tell nobody of signs."""
 
 
@@ -232,7 +232,7 @@
         # This node's own signs that others should hear of, once.
         self.own: list[Sign] = []
         # Called when there is one.
-        self.on_news: Callable[[], None] = nothing
+        self.on_news: Callable[[], None] = ignore_event
 
     def missed(self, known: KnownUpstream, now: float) -> None:
         """Take note of an opening that nobody answered."""
