--- a/burdocksill/packets/outages.py
+++ b/burdocksill/packets/outages.py
@@ -223,7 +223,7 @@
 class Outages:
     """Tell which upstreams a new flow should rather not be sent to."""
 
-    __slots__ = ('domains', 'on_news', 'own', 'upstreams')
+    __slots__ = ('domains', 'on_observation', 'own', 'upstreams')
 
     def __init__(self, upstreams: Upstreams) -> None:
         """Begin with nothing seen."""
@@ -232,7 +232,7 @@
         # This node's own signs that others should hear of, once.
         self.own: list[Sign] = []
         # Called when there is one.
-        self.on_news: Callable[[], None] = ignore_event
+        self.on_observation: Callable[[], None] = ignore_event
 
     def missed(self, known: KnownUpstream, now: float) -> None:
         """Take note of an opening that nobody answered."""
@@ -251,7 +251,7 @@
         """Let other nodes hear of an own sign."""
         sign = Sign(echo=known.echo, answered=answered, at=at, reporter=OWN)
         self.own.append(sign)
-        self.on_news()
+        self.on_observation()
 
     def take_own(self) -> list[Sign]:
         """Return the own signs that nobody was told of yet."""
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -112,6 +112,6 @@
         send=send,
     )
     sender = SignPeer(node=node, world=world, exchange=exchange)
-    core.updater.placer.outages.on_news = sender.has_news
+    core.updater.placer.outages.on_observation = sender.has_news
     world.network.receivers[(address.host, PEER_PORT)] = sender.receive
     return sender
