--- a/burdocksill/packets/isolation.py
+++ b/burdocksill/packets/isolation.py
@@ -29,7 +29,7 @@
 
     __slots__ = (
         'domain',
-        'on_suspicion',
+        'on_suspected',
         'out',
         'outages',
         'silent_until',
@@ -52,13 +52,13 @@
         # Until when the store counts as out of reach.
         self.silent_until = float('-inf')
         # Called while only the store can tell whether this is a cut.
-        self.on_suspicion: Callable[[], None] = ignore_event
+        self.on_suspected: Callable[[], None] = ignore_event
 
     def holds(self, now: float) -> bool:
         """Return True when new flows have nowhere to go but home."""
         if self.domain not in self.out or not self.is_suspected(now):
             return False
-        self.on_suspicion()
+        self.on_suspected()
         return now < self.silent_until
 
     def is_suspected(self, now: float) -> bool:
--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -209,7 +209,7 @@
         key=READERS + settings.domain,
         clock=runtime.clock,
     )
-    directory.placer.isolation.on_suspicion = probe.suspect
+    directory.placer.isolation.on_suspected = probe.suspect
     return Sharing(
         exchange=exchange,
         candidate=Candidate(
--- a/burdocksill_lab/packets/outage.py
+++ b/burdocksill_lab/packets/outage.py
@@ -99,7 +99,7 @@
         for node in self.world.nodes:
             probe = LabStoreProbe(node=node, answers=self.has_store)
             isolation = node.core.updater.placer.isolation
-            isolation.on_suspicion = probe.suspect
+            isolation.on_suspected = probe.suspect
         if self.shares:
             self.peers = share_signs(self.world)
         for domain in self.names():
