--- a/burdocksill/packets/isolation.py
+++ b/burdocksill/packets/isolation.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Callable
 
-from burdocksill.packets.outages import Outages, ignore_event
+from burdocksill.packets.outages import DomainOutageDetector, ignore_event
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
         domain: str,
         out: set[str],
         upstreams: Upstreams,
-        outages: Outages,
+        outages: DomainOutageDetector,
     ) -> None:
         """Take all fields; `out` are the domains that were taken out."""
         self.domain = domain
--- a/burdocksill/packets/outages.py
+++ b/burdocksill/packets/outages.py
@@ -220,7 +220,7 @@
         return self.answered <= self.evidence * ANSWERED_FACTOR
 
 
-class Outages:
+class DomainOutageDetector:
     """Tell which upstreams a new flow should rather not be sent to."""
 
     __slots__ = ('domains', 'on_observation', 'own', 'upstreams')
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -8,7 +8,7 @@
 
 from burdocksill.packets.isolation import Isolation
 from burdocksill.packets.messages import Route, WeightedService
-from burdocksill.packets.outages import Outages
+from burdocksill.packets.outages import DomainOutageDetector
 from burdocksill.packets.routing import RoutingTable
 from burdocksill.packets.upstreams import KnownUpstream, Presence, Upstreams
 from burdocksill.packets.verdicts import Reason
@@ -99,7 +99,7 @@
         rng: Random,
         budget: ColdBudget | None = None,
         nodes: int = ASSUMED_NODES,
-        outages: Outages | None = None,
+        outages: DomainOutageDetector | None = None,
     ) -> None:
         """Take all fields."""
         self.domain = domain
@@ -111,7 +111,9 @@
         self.budget: ColdBudget = ColdBudget() if budget is None else budget
         # How many nodes may send to the same cold upstream.
         self.nodes = nodes
-        self.outages: Outages = outages or Outages(upstreams)
+        self.outages: DomainOutageDetector = outages or DomainOutageDetector(
+            upstreams
+        )
         self.isolation: Isolation = Isolation(
             domain=domain,
             out=self.out,
--- a/burdocksill_lab/packets/outage.py
+++ b/burdocksill_lab/packets/outage.py
@@ -6,7 +6,7 @@
 import attrs
 
 from burdocksill.packets.flows import FlowKey
-from burdocksill.packets.outages import Outages
+from burdocksill.packets.outages import DomainOutageDetector
 from burdocksill_lab.packets.load import Callers, Served, count_served
 from burdocksill_lab.packets.sharing import SignPeer, share_signs
 from burdocksill_lab.packets.upstream import Condition, LabUpstream
@@ -22,7 +22,7 @@
 SILENCE_SECONDS: Final = 0.35
 
 
-class BlindOutages(Outages):
+class BlindOutages(DomainOutageDetector):
     """Draw no conclusion from missed openings, as a control."""
 
     __slots__ = ()
--- a/tests/steps/packets_reporters.py
+++ b/tests/steps/packets_reporters.py
@@ -13,7 +13,7 @@
 from burdocksill.observe.writer import LineWriter
 from burdocksill.packets.header import Packet, parse_ipv4
 from burdocksill.packets.messages import UpstreamRecord, UpstreamState
-from burdocksill.packets.outages import Outages
+from burdocksill.packets.outages import DomainOutageDetector
 from burdocksill.packets.upstreams import KnownUpstream, Upstreams
 from burdocksill.readers.messages import Sign
 from burdocksill_lab.packets.load import ADDRESSES
@@ -127,7 +127,7 @@
         upstream.on_open = note
 
 
-def outages_of(peer: SignPeer) -> Outages:
+def outages_of(peer: SignPeer) -> DomainOutageDetector:
     """Return what a node concludes from missed openings."""
     return peer.node.core.updater.placer.outages
 
@@ -175,7 +175,7 @@
             0,
         )
     context.known = list(upstreams.by_name.values())
-    context.outages = Outages(upstreams)
+    context.outages = DomainOutageDetector(upstreams)
     context.now = 100.0
     stack = ExitStack()
     context.add_cleanup(stack.close)
