--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -179,7 +179,7 @@
             if upstream.health.heard_at > flow.seen_at:
                 continue
             upstream.health.missed(now, flow.seen_at)
-            self.placer.outages.missed(upstream, now)
+            self.placer.outages.record_missed(upstream, now)
             self.log.decided(opening.key, Reason.OPENING_MISSED, upstream)
             count += 1
         return count
--- a/burdocksill/packets/outages.py
+++ b/burdocksill/packets/outages.py
@@ -234,7 +234,7 @@
         # Called when there is one.
         self.on_observation: Callable[[], None] = ignore_event
 
-    def missed(self, known: KnownUpstream, now: float) -> None:
+    def record_missed(self, known: KnownUpstream, now: float) -> None:
         """Take note of an opening that nobody answered."""
         if self.note_missed(known, OWN, now, now):
             self.tell(known, now, answered=False)
--- a/tests/steps/packets_reporters.py
+++ b/tests/steps/packets_reporters.py
@@ -207,14 +207,14 @@
 @when('this node misses an opening of a fourth')
 def miss_fourth(context: Context) -> None:
     """Miss an opening of another upstream."""
-    context.outages.missed(context.known[3], context.now)
+    context.outages.record_missed(context.known[3], context.now)
 
 
 @when('this node misses openings of {count:d} of them')
 def miss_some(context: Context, count: int) -> None:
     """Miss openings."""
     for known in context.known[:count]:
-        context.outages.missed(known, context.now)
+        context.outages.record_missed(known, context.now)
 
 
 @when(
