--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -235,7 +235,7 @@
             self.openings.answered(flow, now)
         self.flows.follow(packet, flow, now)
         if upstream.health.heard_at == now:
-            self.placer.outages.answered(upstream, now)
+            self.placer.outages.record_answered(upstream, now)
         lost = self.losses.of(upstream, now)
         if lost is not None:
             self.reset_others(packet.flow, upstream, lost)
--- a/burdocksill/packets/outages.py
+++ b/burdocksill/packets/outages.py
@@ -239,7 +239,7 @@
         if self.note_missed(known, OWN, now, now):
             self.tell(known, now, answered=False)
 
-    def answered(self, known: KnownUpstream, now: float) -> None:
+    def record_answered(self, known: KnownUpstream, now: float) -> None:
         """Take note of a sign of life, if its domain has been in trouble."""
         domain = self.domains.get(known.record.domain)
         if domain is None or not domain.is_watched(now):
--- a/tests/steps/packets_reporters.py
+++ b/tests/steps/packets_reporters.py
@@ -230,7 +230,7 @@
             report(context, context.known[0], LIAR)
         for known in context.known:
             known.health.heard(context.now)
-            context.outages.answered(known, context.now)
+            context.outages.record_answered(known, context.now)
         context.looks.append(context.outages.is_suspected(DOMAIN, context.now))
 
 
