--- a/burdocksill/packets/outages.py
+++ b/burdocksill/packets/outages.py
@@ -259,7 +259,7 @@
         self.own = []
         return own
 
-    def learn(self, sign: Sign, now: float) -> bool:
+    def merge(self, sign: Sign, now: float) -> bool:
         """Take in what another node saw; return False for no news."""
         known = self.upstreams.by_echo.get(sign.echo)
         if known is None or not 0 <= now - sign.at <= SIGN_SECONDS:
--- a/burdocksill/readers/protocols.py
+++ b/burdocksill/readers/protocols.py
@@ -49,7 +49,7 @@
     def take_own(self) -> list[Sign]:
         """Return the own signs that nobody was told of yet."""
 
-    def learn(self, sign: Sign, now: float) -> bool:
+    def merge(self, sign: Sign, now: float) -> bool:
         """Take in what another node saw; return False for no news."""
 
 
--- a/burdocksill/readers/signs.py
+++ b/burdocksill/readers/signs.py
@@ -67,7 +67,7 @@
                 self.take_reports(signs, reporter_of(sender), now)
         elif self.reader is not None and sender == self.reader.address:
             for sign in signs:
-                self.known.learn(sign, now)
+                self.known.merge(sign, now)
 
     def take_reports(
         self,
@@ -78,7 +78,7 @@
         """Learn what one node saw, and keep what is news for the others."""
         for sign in signs:
             report = sign.seen_by(reporter)
-            if self.known.learn(report, now):
+            if self.known.merge(report, now):
                 self.waiting.append(report)
 
     def tell(self) -> None:
--- a/tests/steps/packets_reporters.py
+++ b/tests/steps/packets_reporters.py
@@ -186,7 +186,7 @@
 
 def report(context: Context, known: KnownUpstream, reporter: int) -> None:
     """Tell this node that another one missed an opening."""
-    context.outages.learn(
+    context.outages.merge(
         Sign(
             echo=known.echo,
             answered=False,
