--- a/burdocksill/packets/outages.py
+++ b/burdocksill/packets/outages.py
@@ -253,7 +253,7 @@
         self.own.append(sign)
         self.on_observation()
 
-    def take_own(self) -> list[Sign]:
+    def pop_unsent(self) -> list[Sign]:
         """Return the own signs that nobody was told of yet."""
         own = self.own
         self.own = []
--- a/burdocksill/readers/protocols.py
+++ b/burdocksill/readers/protocols.py
@@ -46,7 +46,7 @@
 class SignLearner(Protocol):
     """Hold what openings on upstreams met."""
 
-    def take_own(self) -> list[Sign]:
+    def pop_unsent(self) -> list[Sign]:
         """Return the own signs that nobody was told of yet."""
 
     def merge(self, sign: Sign, now: float) -> bool:
--- a/burdocksill/readers/signs.py
+++ b/burdocksill/readers/signs.py
@@ -83,7 +83,7 @@
 
     def tell(self) -> None:
         """Send all that is news to whom it is for."""
-        own = self.known.take_own()
+        own = self.known.pop_unsent()
         if self.reads:
             reporter = reporter_of(self.itself.address)
             self.waiting.extend(sign.seen_by(reporter) for sign in own)
