--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -137,7 +137,7 @@
     def expire_idle(self, now: float) -> None:
         """Forget what has been idle for too long, and suspicions that ended."""
         self.updater.upstreams.forget_old(now)
-        self.updater.placer.outages.review(now)
+        self.updater.placer.outages.expire_suspicions(now)
         manifest = self.updater.table.manifest
         if manifest is not None:
             flows = self.forwarder.flows
--- a/burdocksill/packets/outages.py
+++ b/burdocksill/packets/outages.py
@@ -315,7 +315,7 @@
             domain.suspected_since = weighed.since
             self.write_down('domain suspected', name, weighed, now)
 
-    def review(self, now: float) -> None:
+    def expire_suspicions(self, now: float) -> None:
         """Trust the domains that nothing speaks against any more."""
         for name, domain in self.domains.items():
             self.review_domain(name, domain, now)
--- a/tests/steps/packets_reporters.py
+++ b/tests/steps/packets_reporters.py
@@ -239,7 +239,7 @@
     """Let time pass, with the node's upkeep each second."""
     for _ in range(seconds):
         context.now += 1
-        context.outages.review(context.now)
+        context.outages.expire_suspicions(context.now)
 
 
 @then('the domain is suspected')
