--- a/burdocksill/packets/metrics.py
+++ b/burdocksill/packets/metrics.py
@@ -73,7 +73,7 @@
             'flows_seen': len(self.core.forwarder.flows.flows),
             'domains_out': len(updater.placer.out),
             'domains_suspected': sum(
-                1 for _ in updater.placer.outages.suspected(now)
+                1 for _ in updater.placer.outages.suspected_domains(now)
             ),
             'reads_for_domain': int(self.store_sync.reads),
         }
--- a/burdocksill/packets/outages.py
+++ b/burdocksill/packets/outages.py
@@ -360,7 +360,7 @@
         domain = self.domains.get(name)
         return domain is not None and domain.is_suspected(now)
 
-    def suspected(self, now: float) -> Iterator[str]:
+    def suspected_domains(self, now: float) -> Iterator[str]:
         """Return the domains whose upstreams must prove themselves."""
         for name in self.domains:
             if self.is_suspected(name, now):
--- a/tests/steps/packets_outages.py
+++ b/tests/steps/packets_outages.py
@@ -223,7 +223,11 @@
         node.name
         for node in world.nodes
         if node is not cut
-        and any(node.core.updater.placer.outages.suspected(world.timeline.now))
+        and any(
+            node.core.updater.placer.outages.suspected_domains(
+                world.timeline.now
+            )
+        )
     ]
     assert not suspecting, suspecting
 
--- a/tests/steps/packets_reporters.py
+++ b/tests/steps/packets_reporters.py
@@ -106,7 +106,7 @@
             claim(context.wrong['a node that lies'], context)
         world.run(STEP_SECONDS)
         context.looks.extend(
-            any(outages_of(peer).suspected(world.timeline.now))
+            any(outages_of(peer).suspected_domains(world.timeline.now))
             for peer in honest(context)
         )
 
