--- a/burdocksill/packets/outages.py
+++ b/burdocksill/packets/outages.py
@@ -366,7 +366,7 @@
             if self.is_suspected(name, now):
                 yield name
 
-    def suspects(self, known: KnownUpstream, now: float) -> bool:
+    def is_upstream_suspected(self, known: KnownUpstream, now: float) -> bool:
         """Return True when a new flow on an upstream may meet nobody.
 
         One that has started since the trouble began is another process, of
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -311,7 +311,11 @@
             return LAPSED
         if known.record.name in exclude or known.health.is_aside(now):
             return ASIDE
-        return SUSPECTED if self.outages.suspects(known, now) else WELL
+        return (
+            SUSPECTED
+            if self.outages.is_upstream_suspected(known, now)
+            else WELL
+        )
 
     def by_preference(
         self,
--- a/burdocksill_lab/packets/outage.py
+++ b/burdocksill_lab/packets/outage.py
@@ -27,7 +27,7 @@
 
     __slots__ = ()
 
-    def suspects(self, *_: object) -> bool:
+    def is_upstream_suspected(self, *_: object) -> bool:
         """Return that nothing speaks against any upstream."""
         return False
 
