--- a/burdocksill/packets/isolation.py
+++ b/burdocksill/packets/isolation.py
@@ -65,7 +65,7 @@
         """Return True when all other domains in use must prove themselves."""
         others = self.others()
         return bool(others) and all(
-            self.outages.is_suspected(name, now) for name in others
+            self.outages.is_domain_suspected(name, now) for name in others
         )
 
     def others(self) -> set[str]:
--- a/burdocksill/packets/outages.py
+++ b/burdocksill/packets/outages.py
@@ -355,7 +355,7 @@
             },
         )
 
-    def is_suspected(self, name: str, now: float) -> bool:
+    def is_domain_suspected(self, name: str, now: float) -> bool:
         """Return True while a domain's upstreams must prove themselves."""
         domain = self.domains.get(name)
         return domain is not None and domain.is_suspected(now)
@@ -363,7 +363,7 @@
     def suspected_domains(self, now: float) -> Iterator[str]:
         """Return the domains whose upstreams must prove themselves."""
         for name in self.domains:
-            if self.is_suspected(name, now):
+            if self.is_domain_suspected(name, now):
                 yield name
 
     def is_upstream_suspected(self, known: KnownUpstream, now: float) -> bool:
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -215,7 +215,7 @@
 
         A domain that is cut off tests the others.
         """
-        in_trial = self.outages.is_suspected(self.domain, now)
+        in_trial = self.outages.is_domain_suspected(self.domain, now)
         if not in_trial and self.domain in self.out:
             in_trial = self.isolation.is_suspected(now)
         return in_trial and self.rng.random() < TRIAL_SHARE
--- a/tests/steps/packets_reporters.py
+++ b/tests/steps/packets_reporters.py
@@ -231,7 +231,9 @@
         for known in context.known:
             known.health.heard(context.now)
             context.outages.record_answered(known, context.now)
-        context.looks.append(context.outages.is_suspected(DOMAIN, context.now))
+        context.looks.append(
+            context.outages.is_domain_suspected(DOMAIN, context.now)
+        )
 
 
 @when('nothing more is heard for {seconds:d} s')
@@ -245,13 +247,13 @@
 @then('the domain is suspected')
 def check_suspected(context: Context) -> None:
     """Ask the node."""
-    assert context.outages.is_suspected(DOMAIN, context.now)
+    assert context.outages.is_domain_suspected(DOMAIN, context.now)
 
 
 @then('the domain is not suspected')
 def check_trusted(context: Context) -> None:
     """Ask the node."""
-    assert not context.outages.is_suspected(DOMAIN, context.now)
+    assert not context.outages.is_domain_suspected(DOMAIN, context.now)
 
 
 @then('the domain is suspected in at most {most:d} of {steps:d} steps')
