--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -18,7 +18,7 @@
     reset_of,
     with_echo,
 )
-from burdocksill.packets.losses import Losses
+from burdocksill.packets.losses import LostUpstreamDetector
 from burdocksill.packets.openings import Openings
 from burdocksill.packets.placement import PacketPlacer
 from burdocksill.packets.routing import RoutingTable
@@ -93,7 +93,9 @@
         # The latest opening of each client towards each route.
         self.latest: dict[tuple[int, int, int], FlowKey] = {}
         self.openings: Openings = Openings()
-        self.losses: Losses = Losses(upstreams=upstreams, flows=flows)
+        self.losses: LostUpstreamDetector = LostUpstreamDetector(
+            upstreams=upstreams, flows=flows
+        )
         # Echoes of no known upstream, with the time when they were first seen.
         self.unknown: dict[int, float] = {}
 
@@ -162,7 +164,7 @@
 
     def end_lost(self, now: float) -> None:
         """End the flows on upstreams that the store told are lost."""
-        for upstream, reason in self.losses.take_news(now):
+        for upstream, reason in self.losses.pop_lost(now):
             self.reset_all(upstream, reason)
 
     def expire_openings(self, now: float) -> int:
@@ -236,7 +238,7 @@
         self.flows.follow(packet, flow, now)
         if upstream.health.heard_at == now:
             self.placer.outages.record_answered(upstream, now)
-        lost = self.losses.of(upstream, now)
+        lost = self.losses.loss_reason(upstream, now)
         if lost is not None:
             self.reset_others(packet.flow, upstream, lost)
             return self.reset(packet, lost, upstream)
--- a/burdocksill/packets/losses.py
+++ b/burdocksill/packets/losses.py
@@ -16,7 +16,7 @@
 from burdocksill.packets.verdicts import Reason
 
 
-class Losses:
+class LostUpstreamDetector:
     """Decide whether the flows on an upstream are lost."""
 
     __slots__ = ('flows', 'upstreams')
@@ -26,7 +26,7 @@
         self.upstreams = upstreams
         self.flows = flows
 
-    def of(self, upstream: KnownUpstream, now: float) -> Reason | None:
+    def loss_reason(self, upstream: KnownUpstream, now: float) -> Reason | None:
         """Return why flows on an upstream are lost, None while they may live.
 
         Another process runs in its place, or clients' packets show that it
@@ -49,7 +49,7 @@
             return Reason.UPSTREAM_GONE
         return None
 
-    def take_news(self, now: float) -> Iterator[tuple[KnownUpstream, Reason]]:
+    def pop_lost(self, now: float) -> Iterator[tuple[KnownUpstream, Reason]]:
         """Return once each the upstreams that the store told are lost.
 
         Clients may not send again for long, so their packets aren't waited for.
