--- a/burdocksill/packets/isolation.py
+++ b/burdocksill/packets/isolation.py
@@ -24,7 +24,7 @@
 SILENT_SECONDS: Final = 1.0
 
 
-class Isolation:
+class IsolationDetector:
     """Hold what speaks for a cut around the own failure domain."""
 
     __slots__ = (
@@ -54,7 +54,7 @@
         # Called while only the store can tell whether this is a cut.
         self.on_suspected: Callable[[], None] = ignore_event
 
-    def holds(self, now: float) -> bool:
+    def is_isolated(self, now: float) -> bool:
         """Return True when new flows have nowhere to go but home."""
         if self.domain not in self.out or not self.is_suspected(now):
             return False
@@ -63,12 +63,12 @@
 
     def is_suspected(self, now: float) -> bool:
         """Return True when all other domains in use must prove themselves."""
-        others = self.others()
+        others = self.other_domains()
         return bool(others) and all(
             self.outages.is_domain_suspected(name, now) for name in others
         )
 
-    def others(self) -> set[str]:
+    def other_domains(self) -> set[str]:
         """Return the other domains with upstreams that want new flows."""
         return {
             name
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -6,7 +6,7 @@
 from itertools import islice
 from random import Random
 
-from burdocksill.packets.isolation import Isolation
+from burdocksill.packets.isolation import IsolationDetector
 from burdocksill.packets.messages import Route, WeightedService
 from burdocksill.packets.outages import DomainOutageDetector
 from burdocksill.packets.routing import RoutingTable
@@ -114,7 +114,7 @@
         self.outages: DomainOutageDetector = outages or DomainOutageDetector(
             upstreams
         )
-        self.isolation: Isolation = Isolation(
+        self.isolation: IsolationDetector = IsolationDetector(
             domain=domain,
             out=self.out,
             upstreams=upstreams,
@@ -173,7 +173,7 @@
         looks at the others, of which a large fleet has many.
         """
         worst = SUSPECTED if self.tries_suspected(now) else WELL
-        if worst == WELL and self.isolation.holds(now):
+        if worst == WELL and self.isolation.is_isolated(now):
             home = self.home(service, now)
             chosen = self.first_open(home, urgency, now)
             if chosen is not None:
--- a/burdocksill/packets/store_probe.py
+++ b/burdocksill/packets/store_probe.py
@@ -8,7 +8,7 @@
 
 from burdocksill.network.clock import Clock
 from burdocksill.observe.lines import StateLogger
-from burdocksill.packets.isolation import Isolation
+from burdocksill.packets.isolation import IsolationDetector
 from burdocksill.platform.exceptions import PlatformUnavailableError
 from burdocksill.platform.store import StoreClient
 
@@ -23,7 +23,7 @@
 class StoreProbe:
     """Make cheap calls over new connections while a cut is suspected."""
 
-    isolation: Isolation
+    isolation: IsolationDetector
     platform: StoreClient
     # Any key of the store does.
     key: str
@@ -68,7 +68,7 @@
 
     def tell(self, state: str) -> None:
         """Write down what was found, when it differs from before."""
-        domains = ' '.join(sorted(self.isolation.others()))
+        domains = ' '.join(sorted(self.isolation.other_domains()))
         self.state_logger.log_change(
             state,
             domain=self.isolation.domain,
