--- a/burdocksill/packets/isolation.py
+++ b/burdocksill/packets/isolation.py
@@ -77,10 +77,10 @@
             if placed and name != self.domain and name not in self.out
         }
 
-    def store_silent(self, now: float) -> None:
+    def record_store_timeout(self, now: float) -> None:
         """Take note that the store left a call without an answer."""
         self.silent_until = now + SILENT_SECONDS
 
-    def store_answered(self) -> None:
+    def record_store_answer(self) -> None:
         """Take note that the store can be reached."""
         self.silent_until = float('-inf')
--- a/burdocksill/packets/store_probe.py
+++ b/burdocksill/packets/store_probe.py
@@ -43,10 +43,10 @@
             await self.wanted.wait()
             self.wanted = trio.Event()
             if await self.is_silent():
-                self.isolation.store_silent(self.clock())
+                self.isolation.record_store_timeout(self.clock())
                 self.tell('cut off, serves at home')
             else:
-                self.isolation.store_answered()
+                self.isolation.record_store_answer()
                 self.tell('in touch with the store')
             await trio.sleep(GAP_SECONDS)
 
--- a/burdocksill_lab/packets/outage.py
+++ b/burdocksill_lab/packets/outage.py
@@ -53,9 +53,9 @@
         self.under_way = False
         isolation = self.node.core.updater.placer.isolation
         if self.answers():
-            isolation.store_answered()
+            isolation.record_store_answer()
         else:
-            isolation.store_silent(self.node.timeline.now)
+            isolation.record_store_timeout(self.node.timeline.now)
 
 
 @attrs.define(kw_only=True)
