--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -243,7 +243,7 @@
             self.reset_others(packet.flow, upstream, lost)
             return self.reset(packet, lost, upstream)
         if upstream.health.is_lost(packet.flow):
-            upstream.health.put_aside(now)
+            upstream.health.eject(now)
             return self.reset(packet, Reason.FLOW_SILENT, upstream)
         return self.forward(payload, upstream, Reason.FOLLOWED)
 
--- a/burdocksill/packets/health.py
+++ b/burdocksill/packets/health.py
@@ -108,16 +108,16 @@
         """Put it aside after an opening it did not answer; True if it was."""
         if self.heard_at > sent_at or now < self.aside_until:
             return False
-        self.put_aside(now)
+        self.eject(now)
         return True
 
     def refused(self, now: float) -> None:
         """Take note of a client that opens anew instead of going on."""
         self.refusals += 1
         if self.refusals >= REFUSED_FLOWS and now >= self.aside_until:
-            self.put_aside(now)
+            self.eject(now)
 
-    def put_aside(self, now: float) -> None:
+    def eject(self, now: float) -> None:
         """Keep new flows away for a pause that grows each time."""
         self.aside_until = now + self.pause
         self.pause = min(self.pause * 2, LONGEST_PAUSE_SECONDS)
@@ -141,7 +141,7 @@
         elif len(self.silent) < SILENT_KEPT:
             self.silent[flow] = SilentFlow(since)
 
-    def is_aside(self, now: float) -> bool:
+    def is_ejected(self, now: float) -> bool:
         """Return True while it should get no new flow if others can."""
         return now < self.aside_until or len(self.silent) >= PAIR_FLOWS
 
--- a/burdocksill/packets/losses.py
+++ b/burdocksill/packets/losses.py
@@ -39,7 +39,7 @@
         if health.is_dark(now):
             # Once its flows are ended nothing else would tell that it is
             # silent, and with no flow left it would seem the least loaded.
-            health.put_aside(now)
+            health.eject(now)
             return Reason.UPSTREAM_DARK
         presence = self.upstreams.presence(upstream, now)
         if presence is Presence.GONE and health.silent:
--- a/burdocksill/packets/metrics.py
+++ b/burdocksill/packets/metrics.py
@@ -69,7 +69,7 @@
             'store_revision': self.core.progress.revision,
             'store_age_seconds': round(self.core.progress.age(), 3),
             'upstreams': len(known),
-            'upstreams_aside': sum(one.health.is_aside(now) for one in known),
+            'upstreams_aside': sum(one.health.is_ejected(now) for one in known),
             'flows_seen': len(self.core.forwarder.flows.flows),
             'domains_out': len(updater.placer.out),
             'domains_suspected': sum(
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -309,7 +309,7 @@
         """Return how much speaks against an upstream."""
         if self.upstreams.presence(known, now) is Presence.LAPSED:
             return LAPSED
-        if known.record.name in exclude or known.health.is_aside(now):
+        if known.record.name in exclude or known.health.is_ejected(now):
             return ASIDE
         return (
             SUSPECTED
--- a/tests/steps/packets_admission.py
+++ b/tests/steps/packets_admission.py
@@ -179,7 +179,7 @@
     context.core = context.deployment.world.nodes[0].core
     now = context.deployment.world.timeline.now
     known = list(context.core.updater.upstreams.by_name.values())
-    known[0].health.put_aside(now)
+    known[0].health.eject(now)
     for one in known[1:]:
         for _ in range(one.record.slots):
             one.begin_request()
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -699,4 +699,4 @@
     world.timeline.run(0.01)
     for node in world.nodes:
         for name, known in node.core.updater.upstreams.by_name.items():
-            assert not known.health.is_aside(world.timeline.now), name
+            assert not known.health.is_ejected(world.timeline.now), name
