--- a/burdocksill/packets/flows.py
+++ b/burdocksill/packets/flows.py
@@ -154,7 +154,7 @@
 
     def waits_since(self, upstream: KnownUpstream, begin: float) -> bool:
         """Return True when a client has waited for one alone since a time."""
-        heard_at = upstream.health.heard_at
+        heard_at = upstream.health.last_answer_at
         return any(
             heard_at < flow.waiting_since <= begin
             for flow in self.flows.values()
@@ -192,7 +192,7 @@
         flow.open = True
         flow.ack = packet.ack
         self.stop_waiting(flow)
-        health.heard(now)
+        health.record_answer(now)
 
     def took(self, flow: SeenFlow, packet: Packet, now: float) -> None:
         """Learn from what an answer took that is acknowledged now."""
--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -178,7 +178,7 @@
             if self.flows.find(opening.key) is not flow or self.flows.behind:
                 continue
             upstream = flow.upstream
-            if upstream.health.heard_at > flow.seen_at:
+            if upstream.health.last_answer_at > flow.seen_at:
                 continue
             upstream.health.missed(now, flow.seen_at)
             self.placer.outages.record_missed(upstream, now)
@@ -236,7 +236,7 @@
         if not flow.open:
             self.openings.answered(flow, now)
         self.flows.follow(packet, flow, now)
-        if upstream.health.heard_at == now:
+        if upstream.health.last_answer_at == now:
             self.placer.outages.record_answered(upstream, now)
         lost = self.losses.loss_reason(upstream, now)
         if lost is not None:
--- a/burdocksill/packets/health.py
+++ b/burdocksill/packets/health.py
@@ -77,7 +77,7 @@
     __slots__ = (
         'answer_seconds',
         'aside_until',
-        'heard_at',
+        'last_answer_at',
         'pause',
         'refusals',
         'silent',
@@ -85,7 +85,7 @@
 
     def __init__(self) -> None:
         """Begin with nothing known."""
-        self.heard_at: float = 0
+        self.last_answer_at: float = 0
         self.aside_until: float = 0
         self.pause: float = FIRST_PAUSE_SECONDS
         self.answer_seconds: float = UNKNOWN_ANSWER_SECONDS
@@ -94,9 +94,9 @@
         # Flows whose data was repeated.
         self.silent: dict[tuple[int, ...], SilentFlow] = {}
 
-    def heard(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Take note that the upstream answered a client."""
-        self.heard_at = now
+        self.last_answer_at = now
         self.refusals = 0
         if self.silent:
             self.silent.clear()
@@ -106,7 +106,7 @@
 
     def missed(self, now: float, sent_at: float) -> bool:
         """Put it aside after an opening it did not answer; True if it was."""
-        if self.heard_at > sent_at or now < self.aside_until:
+        if self.last_answer_at > sent_at or now < self.aside_until:
             return False
         self.eject(now)
         return True
@@ -133,7 +133,7 @@
 
     def unanswered(self, flow: tuple[int, ...], since: float) -> None:
         """Take note of a flow whose data the client sent again."""
-        if since <= self.heard_at:
+        if since <= self.last_answer_at:
             return
         known = self.silent.get(flow)
         if known is not None:
--- a/burdocksill/packets/outages.py
+++ b/burdocksill/packets/outages.py
@@ -381,7 +381,7 @@
         since = domain.suspected_since
         if not domain.is_suspected(now) or known.since > since:
             return False
-        answered_at = known.health.heard_at
+        answered_at = known.health.last_answer_at
         if signs is not None:
             answered_at = max(answered_at, signs.answered_at)
         return answered_at < since
--- a/tests/steps/packets_reporters.py
+++ b/tests/steps/packets_reporters.py
@@ -229,7 +229,7 @@
         if step % round(1 / gap) == 0:
             report(context, context.known[0], LIAR)
         for known in context.known:
-            known.health.heard(context.now)
+            known.health.record_answer(context.now)
             context.outages.record_answered(known, context.now)
         context.looks.append(
             context.outages.is_domain_suspected(DOMAIN, context.now)
