--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -152,14 +152,14 @@
         if seen is None or seen.open:
             return frozenset()
         if seen.seen_at + REPEAT_SECONDS > now:
-            seen.upstream.health.refused(now)
+            seen.upstream.health.record_refusal(now)
         return frozenset((seen.upstream.record.name,))
 
     def missed(self, seen: SeenFlow, now: float) -> frozenset[str]:
         """Hold an unanswered opening against its upstream."""
         upstream = seen.upstream
         if not self.flows.behind:
-            upstream.health.missed(now, seen.seen_at)
+            upstream.health.record_missed(now, seen.seen_at)
         return frozenset((upstream.record.name,))
 
     def end_lost(self, now: float) -> None:
@@ -180,7 +180,7 @@
             upstream = flow.upstream
             if upstream.health.last_answer_at > flow.seen_at:
                 continue
-            upstream.health.missed(now, flow.seen_at)
+            upstream.health.record_missed(now, flow.seen_at)
             self.placer.outages.record_missed(upstream, now)
             self.log.decided(opening.key, Reason.OPENING_MISSED, upstream)
             count += 1
--- a/burdocksill/packets/health.py
+++ b/burdocksill/packets/health.py
@@ -104,14 +104,14 @@
             self.aside_until = 0
             self.pause = FIRST_PAUSE_SECONDS
 
-    def missed(self, now: float, sent_at: float) -> bool:
+    def record_missed(self, now: float, sent_at: float) -> bool:
         """Put it aside after an opening it did not answer; True if it was."""
         if self.last_answer_at > sent_at or now < self.aside_until:
             return False
         self.eject(now)
         return True
 
-    def refused(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """Take note of a client that opens anew instead of going on."""
         self.refusals += 1
         if self.refusals >= REFUSED_FLOWS and now >= self.aside_until:
