--- a/burdocksill/packets/decisions.py
+++ b/burdocksill/packets/decisions.py
@@ -36,7 +36,7 @@
             fields['domain'] = upstream.record.domain
             fields['flows'] = upstream.flows
             fields['waiting'] = upstream.waiting
-            fields['silent'] = len(upstream.health.silent)
+            fields['silent'] = len(upstream.health.unanswered_flows)
             fields['answer_s'] = round(upstream.health.answer_seconds, 3)
         logger.info(reason.value, extra=fields)
 
--- a/burdocksill/packets/flows.py
+++ b/burdocksill/packets/flows.py
@@ -144,7 +144,7 @@
         if flow is not None:
             flow.upstream.flows -= 1
             self.stop_waiting(flow)
-            flow.upstream.health.silent.pop(key, None)
+            flow.upstream.health.unanswered_flows.pop(key, None)
 
     def on(self, upstream: KnownUpstream) -> list[FlowKey]:
         """Return the flows on an upstream."""
--- a/burdocksill/packets/health.py
+++ b/burdocksill/packets/health.py
@@ -80,7 +80,7 @@
         'last_answer_at',
         'pause',
         'refusals',
-        'silent',
+        'unanswered_flows',
     )
 
     def __init__(self) -> None:
@@ -92,14 +92,14 @@
         # Openings since the last sign of life that clients gave up at once.
         self.refusals: int = 0
         # Flows whose data was repeated.
-        self.silent: dict[tuple[int, ...], SilentFlow] = {}
+        self.unanswered_flows: dict[tuple[int, ...], SilentFlow] = {}
 
     def record_answer(self, now: float) -> None:
         """Take note that the upstream answered a client."""
         self.last_answer_at = now
         self.refusals = 0
-        if self.silent:
-            self.silent.clear()
+        if self.unanswered_flows:
+            self.unanswered_flows.clear()
         if self.aside_until:
             self.aside_until = 0
             self.pause = FIRST_PAUSE_SECONDS
@@ -135,15 +135,17 @@
         """Take note of a flow whose data the client sent again."""
         if since <= self.last_answer_at:
             return
-        known = self.silent.get(flow)
+        known = self.unanswered_flows.get(flow)
         if known is not None:
             known.repeats += 1
-        elif len(self.silent) < SILENT_KEPT:
-            self.silent[flow] = SilentFlow(since)
+        elif len(self.unanswered_flows) < SILENT_KEPT:
+            self.unanswered_flows[flow] = SilentFlow(since)
 
     def is_ejected(self, now: float) -> bool:
         """Return True while it should get no new flow if others can."""
-        return now < self.aside_until or len(self.silent) >= PAIR_FLOWS
+        return (
+            now < self.aside_until or len(self.unanswered_flows) >= PAIR_FLOWS
+        )
 
     def keeps_waiting(self, now: float, recent: float) -> bool:
         """Return True when a client waits for longer than answers take.
@@ -154,17 +156,17 @@
         longest = recent * LAPSED_ANSWERS or float('inf')
         return any(
             flow.repeats >= REPEATS_WITHOUT_DOUBT or now - flow.since >= longest
-            for flow in self.silent.values()
+            for flow in self.unanswered_flows.values()
         )
 
     def is_lost(self, flow: tuple[int, ...]) -> bool:
         """Return True when one flow alone can't be alive any more."""
-        known = self.silent.get(flow)
+        known = self.unanswered_flows.get(flow)
         return known is not None and known.repeats >= REPEATS_ALONE
 
     def is_dark(self, now: float) -> bool:
         """Return True when flows on it are lost as far as clients can tell."""
-        flows = self.silent.values()
+        flows = self.unanswered_flows.values()
         if len(flows) < PAIR_FLOWS:
             return False
         certain = [
--- a/burdocksill/packets/losses.py
+++ b/burdocksill/packets/losses.py
@@ -42,7 +42,7 @@
             health.eject(now)
             return Reason.UPSTREAM_DARK
         presence = self.upstreams.presence(upstream, now)
-        if presence is Presence.GONE and health.silent:
+        if presence is Presence.GONE and health.unanswered_flows:
             return Reason.UPSTREAM_GONE
         silent = self.upstreams.fell_silent(upstream)
         if silent and health.keeps_waiting(now, upstream.pool.recent):
