--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -242,7 +242,7 @@
         if lost is not None:
             self.reset_others(packet.flow, upstream, lost)
             return self.reset(packet, lost, upstream)
-        if upstream.health.is_lost(packet.flow):
+        if upstream.health.is_flow_lost(packet.flow):
             upstream.health.eject(now)
             return self.reset(packet, Reason.FLOW_SILENT, upstream)
         return self.forward(payload, upstream, Reason.FOLLOWED)
--- a/burdocksill/packets/health.py
+++ b/burdocksill/packets/health.py
@@ -159,12 +159,12 @@
             for flow in self.unanswered_flows.values()
         )
 
-    def is_lost(self, flow: tuple[int, ...]) -> bool:
+    def is_flow_lost(self, flow: tuple[int, ...]) -> bool:
         """Return True when one flow alone can't be alive any more."""
         known = self.unanswered_flows.get(flow)
         return known is not None and known.repeats >= REPEATS_ALONE
 
-    def is_dark(self, now: float) -> bool:
+    def is_unresponsive(self, now: float) -> bool:
         """Return True when flows on it are lost as far as clients can tell."""
         flows = self.unanswered_flows.values()
         if len(flows) < PAIR_FLOWS:
--- a/burdocksill/packets/losses.py
+++ b/burdocksill/packets/losses.py
@@ -36,7 +36,7 @@
         health = upstream.health
         if upstream.ended:
             return Reason.UPSTREAM_REPLACED
-        if health.is_dark(now):
+        if health.is_unresponsive(now):
             # Once its flows are ended nothing else would tell that it is
             # silent, and with no flow left it would seem the least loaded.
             health.eject(now)
