--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -19,7 +19,7 @@
     with_echo,
 )
 from burdocksill.packets.losses import LostUpstreamDetector
-from burdocksill.packets.openings import Openings
+from burdocksill.packets.openings import PendingOpenings
 from burdocksill.packets.placement import PacketPlacer
 from burdocksill.packets.routing import RoutingTable
 from burdocksill.packets.upstreams import (
@@ -92,7 +92,7 @@
         self.refused_for_load: Counter[int] = Counter()
         # The latest opening of each client towards each route.
         self.latest: dict[tuple[int, int, int], FlowKey] = {}
-        self.openings: Openings = Openings()
+        self.openings: PendingOpenings = PendingOpenings()
         self.losses: LostUpstreamDetector = LostUpstreamDetector(
             upstreams=upstreams, flows=flows
         )
@@ -132,7 +132,7 @@
         if isinstance(chosen, Reason):
             return self.without_candidate(packet, now)
         flow = self.flows.start(packet.flow, chosen, now)
-        self.openings.begin(packet.flow, flow, now)
+        self.openings.add(packet.flow, flow, now)
         self.log.decided(packet.flow, reason, chosen, packet.ack)
         return self.forward(with_echo(payload, chosen.echo), chosen, reason)
 
@@ -173,7 +173,7 @@
         To be called when no packet waits: the one that follows may be there.
         """
         count = 0
-        for opening in self.openings.missed(now):
+        for opening in self.openings.pop_overdue(now):
             flow = opening.flow
             if self.flows.find(opening.key) is not flow or self.flows.behind:
                 continue
@@ -234,7 +234,7 @@
         if flow is None or flow.upstream is not upstream:
             flow = self.flows.join(packet, upstream, now)
         if not flow.open:
-            self.openings.answered(flow, now)
+            self.openings.record_answer(flow, now)
         self.flows.follow(packet, flow, now)
         if upstream.health.last_answer_at == now:
             self.placer.outages.record_answered(upstream, now)
--- a/burdocksill/packets/openings.py
+++ b/burdocksill/packets/openings.py
@@ -47,7 +47,7 @@
         self.due_at = due_at
 
 
-class Openings:
+class PendingOpenings:
     """Hold the openings after which nothing has come yet, the oldest first."""
 
     __slots__ = ('usual', 'waiting')
@@ -66,12 +66,12 @@
             return MOST_SECONDS
         return min(max(self.usual * USUAL_FACTOR, FEWEST_SECONDS), MOST_SECONDS)
 
-    def begin(self, key: FlowKey, flow: SeenFlow, now: float) -> None:
+    def add(self, key: FlowKey, flow: SeenFlow, now: float) -> None:
         """Wait for the packet that follows an opening."""
         due_at = now + self.patience
         self.waiting.append(Opening(key=key, flow=flow, due_at=due_at))
 
-    def answered(self, flow: SeenFlow, now: float) -> None:
+    def record_answer(self, flow: SeenFlow, now: float) -> None:
         """Learn how long an opening took that a packet followed."""
         seconds = now - flow.seen_at
         if self.usual:
@@ -85,7 +85,7 @@
             self.waiting.popleft()
         return self.waiting[0].due_at if self.waiting else float('inf')
 
-    def missed(self, now: float) -> Iterator[Opening]:
+    def pop_overdue(self, now: float) -> Iterator[Opening]:
         """Return the openings that are overdue, once each."""
         while self.next_due() <= now:
             yield self.waiting.popleft()
