--- a/burdocksill/packets/flows.py
+++ b/burdocksill/packets/flows.py
@@ -36,7 +36,7 @@
 ANSWERS_KEPT: Final = 8192
 
 
-class SeenFlow:
+class TrackedFlow:
     """Hold the last state of a flow that its client's packets showed."""
 
     __slots__ = (
@@ -45,7 +45,7 @@
         'objective_seconds',
         'open',
         'repeated',
-        'seen_at',
+        'last_seen_at',
         'seq',
         'upstream',
         'waiting_since',
@@ -55,12 +55,12 @@
         self,
         *,
         upstream: KnownUpstream,
-        seen_at: float,
+        last_seen_at: float,
         objective_seconds: float = 0,
     ) -> None:
         """Take all fields."""
         self.upstream = upstream
-        self.seen_at = seen_at
+        self.last_seen_at = last_seen_at
         self.ack: int = 0
         self.seq: int = -1
         # Within which its client wants an answer; 0: none is set.
@@ -86,7 +86,7 @@
     ) -> None:
         """Take all fields."""
         self.limit = limit
-        self.flows: dict[FlowKey, SeenFlow] = {}
+        self.flows: dict[FlowKey, TrackedFlow] = {}
         # True while packets wait in this node for long: repeats prove nothing.
         self.behind = False
         # Tells within which the clients of a route want their answers.
@@ -94,7 +94,7 @@
         # What the latest answers took, by service, until the metrics take them.
         self.answers: deque[tuple[str, float]] = deque(maxlen=ANSWERS_KEPT)
 
-    def find(self, key: FlowKey) -> SeenFlow | None:
+    def find(self, key: FlowKey) -> TrackedFlow | None:
         """Return what is known of a flow."""
         return self.flows.get(key)
 
@@ -103,14 +103,14 @@
         key: FlowKey,
         upstream: KnownUpstream,
         now: float,
-    ) -> SeenFlow:
+    ) -> TrackedFlow:
         """Begin to follow a flow on an upstream."""
         self.end(key)
         if len(self.flows) >= self.limit:
             self.end(next(iter(self.flows)))
-        flow = SeenFlow(
+        flow = TrackedFlow(
             upstream=upstream,
-            seen_at=now,
+            last_seen_at=now,
             objective_seconds=self.objective_of(key),
         )
         self.flows[key] = flow
@@ -127,7 +127,7 @@
         packet: Packet,
         upstream: KnownUpstream,
         now: float,
-    ) -> SeenFlow:
+    ) -> TrackedFlow:
         """Begin to follow a flow that was opened through another node.
 
         What its client has acknowledged is old news: taken for a sign of life
@@ -164,13 +164,13 @@
     def idle(self, before: float) -> Iterator[FlowKey]:
         """Return the flows that were last seen before a time."""
         for key, flow in self.flows.items():
-            if flow.seen_at < before:
+            if flow.last_seen_at < before:
                 yield key
 
-    def follow(self, packet: Packet, flow: SeenFlow, now: float) -> None:
+    def follow(self, packet: Packet, flow: TrackedFlow, now: float) -> None:
         """Learn from a packet of an open flow how its upstream fares."""
-        gap = now - flow.seen_at
-        flow.seen_at = now
+        gap = now - flow.last_seen_at
+        flow.last_seen_at = now
         key = packet.flow
         if not flow.open or is_sequence_after(packet.ack, flow.ack):
             self.answered(flow, packet, now)
@@ -184,7 +184,7 @@
         if packet.flags & (FIN | RST):
             self.end(key)
 
-    def answered(self, flow: SeenFlow, packet: Packet, now: float) -> None:
+    def answered(self, flow: TrackedFlow, packet: Packet, now: float) -> None:
         """Take note that the upstream has sent something new."""
         health = flow.upstream.health
         if flow.waiting_since:
@@ -194,7 +194,7 @@
         self.stop_waiting(flow)
         health.record_answer(now)
 
-    def took(self, flow: SeenFlow, packet: Packet, now: float) -> None:
+    def took(self, flow: TrackedFlow, packet: Packet, now: float) -> None:
         """Learn from what an answer took that is acknowledged now."""
         seconds = now - flow.waiting_since
         flow.upstream.pool.answered(
@@ -210,7 +210,7 @@
             flow.upstream.health.took(seconds)
             self.answers.append((flow.upstream.record.service, seconds))
 
-    def stop_waiting(self, flow: SeenFlow) -> None:
+    def stop_waiting(self, flow: TrackedFlow) -> None:
         """Count a flow out of those that wait for an answer."""
         if flow.waiting_since:
             flow.waiting_since = 0
@@ -218,7 +218,7 @@
 
     def sent(
         self,
-        flow: SeenFlow,
+        flow: TrackedFlow,
         packet: Packet,
         now: float,
         *,
--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -8,7 +8,7 @@
     REPEAT_SECONDS,
     FlowKey,
     FlowTable,
-    SeenFlow,
+    TrackedFlow,
 )
 from burdocksill.packets.header import (
     TAG,
@@ -117,7 +117,7 @@
         reason = Reason.OPENED
         if seen is None:
             exclude = self.refused(packet, now)
-        elif now - seen.seen_at < REPEAT_SECONDS:
+        elif now - seen.last_seen_at < REPEAT_SECONDS:
             # Upstreams take the last echo they see, so the double has it too.
             doubled = with_echo(payload, seen.upstream.echo)
             return self.forward(doubled, seen.upstream, Reason.OPENED)
@@ -151,15 +151,15 @@
         seen = self.flows.find(before) if before else None
         if seen is None or seen.open:
             return frozenset()
-        if seen.seen_at + REPEAT_SECONDS > now:
+        if seen.last_seen_at + REPEAT_SECONDS > now:
             seen.upstream.health.record_refusal(now)
         return frozenset((seen.upstream.record.name,))
 
-    def missed(self, seen: SeenFlow, now: float) -> frozenset[str]:
+    def missed(self, seen: TrackedFlow, now: float) -> frozenset[str]:
         """Hold an unanswered opening against its upstream."""
         upstream = seen.upstream
         if not self.flows.behind:
-            upstream.health.record_missed(now, seen.seen_at)
+            upstream.health.record_missed(now, seen.last_seen_at)
         return frozenset((upstream.record.name,))
 
     def end_lost(self, now: float) -> None:
@@ -178,9 +178,9 @@
             if self.flows.find(opening.key) is not flow or self.flows.behind:
                 continue
             upstream = flow.upstream
-            if upstream.health.last_answer_at > flow.seen_at:
+            if upstream.health.last_answer_at > flow.last_seen_at:
                 continue
-            upstream.health.record_missed(now, flow.seen_at)
+            upstream.health.record_missed(now, flow.last_seen_at)
             self.placer.outages.record_missed(upstream, now)
             self.log.decided(opening.key, Reason.OPENING_MISSED, upstream)
             count += 1
--- a/burdocksill/packets/openings.py
+++ b/burdocksill/packets/openings.py
@@ -10,7 +10,7 @@
 from collections import deque
 from collections.abc import Iterator
 
-from burdocksill.packets.flows import REPEAT_SECONDS, FlowKey, SeenFlow
+from burdocksill.packets.flows import REPEAT_SECONDS, FlowKey, TrackedFlow
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
         self,
         *,
         key: FlowKey,
-        flow: SeenFlow,
+        flow: TrackedFlow,
         due_at: float,
     ) -> None:
         """Take all fields."""
@@ -66,14 +66,14 @@
             return MOST_SECONDS
         return min(max(self.usual * USUAL_FACTOR, FEWEST_SECONDS), MOST_SECONDS)
 
-    def add(self, key: FlowKey, flow: SeenFlow, now: float) -> None:
+    def add(self, key: FlowKey, flow: TrackedFlow, now: float) -> None:
         """Wait for the packet that follows an opening."""
         due_at = now + self.patience
         self.waiting.append(Opening(key=key, flow=flow, due_at=due_at))
 
-    def record_answer(self, flow: SeenFlow, now: float) -> None:
+    def record_answer(self, flow: TrackedFlow, now: float) -> None:
         """Learn how long an opening took that a packet followed."""
-        seconds = now - flow.seen_at
+        seconds = now - flow.last_seen_at
         if self.usual:
             self.usual *= STEP_UP if seconds > self.usual else STEP_DOWN
         else:
