--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -72,7 +72,7 @@
 
     def drain(self, now: float) -> None:
         """Handle at most one batch of waiting packets."""
-        self.forwarder.flows.behind = self.is_backlogged(now)
+        self.forwarder.flows.is_backlogged = self.is_backlogged(now)
         for _ in range(BATCH_LIMIT):
             try:
                 payload = self.datagrams.recv(LARGEST_PACKET + 1)
--- a/burdocksill/packets/flows.py
+++ b/burdocksill/packets/flows.py
@@ -76,7 +76,7 @@
 class FlowTable:
     """Keep the flows seen last, the oldest first."""
 
-    __slots__ = ('answers', 'behind', 'flows', 'limit', 'table')
+    __slots__ = ('answers', 'is_backlogged', 'flows', 'limit', 'table')
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
         self.limit = limit
         self.flows: dict[FlowKey, TrackedFlow] = {}
         # True while packets wait in this node for long: repeats prove nothing.
-        self.behind = False
+        self.is_backlogged = False
         # Tells within which the clients of a route want their answers.
         self.table: RoutingTable = RoutingTable() if table is None else table
         # What the latest answers took, by service, until the metrics take them.
@@ -179,7 +179,7 @@
                 flow,
                 packet,
                 now,
-                fresh=not self.behind and gap >= REPEAT_SECONDS,
+                fresh=not self.is_backlogged and gap >= REPEAT_SECONDS,
             )
         if packet.flags & (FIN | RST):
             self.end(key)
--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -158,7 +158,7 @@
     def missed(self, seen: TrackedFlow, now: float) -> frozenset[str]:
         """Hold an unanswered opening against its upstream."""
         upstream = seen.upstream
-        if not self.flows.behind:
+        if not self.flows.is_backlogged:
             upstream.health.record_missed(now, seen.last_seen_at)
         return frozenset((upstream.record.name,))
 
@@ -175,7 +175,10 @@
         count = 0
         for opening in self.openings.pop_overdue(now):
             flow = opening.flow
-            if self.flows.find(opening.key) is not flow or self.flows.behind:
+            if (
+                self.flows.find(opening.key) is not flow
+                or self.flows.is_backlogged
+            ):
                 continue
             upstream = flow.upstream
             if upstream.health.last_answer_at > flow.last_seen_at:
--- a/burdocksill/packets/losses.py
+++ b/burdocksill/packets/losses.py
@@ -66,7 +66,7 @@
         A node that is behind may have the answer's sign in its socket.
         """
         recent = upstream.pool.recent
-        if self.flows.behind or not recent or upstream.is_listed:
+        if self.flows.is_backlogged or not recent or upstream.is_listed:
             return False
         longest = max(recent * LAPSED_ANSWERS, QUICK_SECONDS)
         return self.flows.waits_since(upstream, now - longest)
--- a/tests/steps/packets_start.py
+++ b/tests/steps/packets_start.py
@@ -476,7 +476,7 @@
     context.behind = []
     for number in range(7):
         context.core.drain(100 + number * gap)
-        context.behind.append(context.core.forwarder.flows.behind)
+        context.behind.append(context.core.forwarder.flows.is_backlogged)
 
 
 @then('it knows that it is behind after {rounds:d} rounds')
