--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -141,7 +141,7 @@
         manifest = self.updater.table.manifest
         if manifest is not None:
             flows = self.forwarder.flows
-            for key in list(flows.idle(now - manifest.idle_seconds)):
+            for key in list(flows.idle_since(now - manifest.idle_seconds)):
                 flows.end(key)
 
 
--- a/burdocksill/packets/flows.py
+++ b/burdocksill/packets/flows.py
@@ -146,7 +146,7 @@
             self.stop_waiting(flow)
             flow.upstream.health.unanswered_flows.pop(key, None)
 
-    def on(self, upstream: KnownUpstream) -> list[FlowKey]:
+    def keys_on(self, upstream: KnownUpstream) -> list[FlowKey]:
         """Return the flows on an upstream."""
         return [
             key for key, flow in self.flows.items() if flow.upstream is upstream
@@ -161,13 +161,13 @@
             if flow.upstream is upstream
         )
 
-    def idle(self, before: float) -> Iterator[FlowKey]:
+    def idle_since(self, before: float) -> Iterator[FlowKey]:
         """Return the flows that were last seen before a time."""
         for key, flow in self.flows.items():
             if flow.last_seen_at < before:
                 yield key
 
-    def follow(self, packet: Packet, flow: TrackedFlow, now: float) -> None:
+    def observe(self, packet: Packet, flow: TrackedFlow, now: float) -> None:
         """Learn from a packet of an open flow how its upstream fares."""
         gap = now - flow.last_seen_at
         flow.last_seen_at = now
--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -238,7 +238,7 @@
             flow = self.flows.join(packet, upstream, now)
         if not flow.open:
             self.openings.record_answer(flow, now)
-        self.flows.follow(packet, flow, now)
+        self.flows.observe(packet, flow, now)
         if upstream.health.last_answer_at == now:
             self.placer.outages.record_answered(upstream, now)
         lost = self.losses.loss_reason(upstream, now)
@@ -287,7 +287,7 @@
         """End the flows on an upstream but one."""
         if not upstream.flows:
             return
-        for key in self.flows.on(upstream):
+        for key in self.flows.keys_on(upstream):
             if key != spared:
                 ack = self.flows.flows[key].ack
                 self.due.append(self.reset_flow(key, ack, reason, upstream))
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -593,7 +593,7 @@
         if flow.echo == upstream.tag & 0xFFFFFFFF:
             flow.packet(FIN, ack=flow.ack)
             world.timeline.run(0.01)
-    assert not flows.on(node.core.updater.upstreams.by_name[upstream.name])
+    assert not flows.keys_on(node.core.updater.upstreams.by_name[upstream.name])
     upstream.condition = Condition.REFUSING
     context.marked = upstream
     upstream.opened.clear()
