--- a/burdocksill/packets/flows.py
+++ b/burdocksill/packets/flows.py
@@ -27,7 +27,7 @@
 # Below the time after which a client repeats what is not answered. What is read
 # sooner after the packet before was doubled by the network, or has waited
 # in this node's socket while the node stood still or was started.
-REPEAT_SECONDS: Final = 0.15
+MIN_RETRANSMIT_SECONDS: Final = 0.15
 FlowKey = tuple[int, int, int, int]
 
 # Bounds the memory of the table, whatever clients send.
@@ -179,7 +179,7 @@
                 flow,
                 packet,
                 now,
-                fresh=not self.is_backlogged and gap >= REPEAT_SECONDS,
+                fresh=not self.is_backlogged and gap >= MIN_RETRANSMIT_SECONDS,
             )
         if packet.flags & (FIN | RST):
             self.end(key)
--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from burdocksill.packets.flows import (
-    REPEAT_SECONDS,
+    MIN_RETRANSMIT_SECONDS,
     FlowKey,
     FlowTable,
     TrackedFlow,
@@ -117,7 +117,7 @@
         reason = Reason.OPENED
         if seen is None:
             exclude = self.refused(packet, now)
-        elif now - seen.last_seen_at < REPEAT_SECONDS:
+        elif now - seen.last_seen_at < MIN_RETRANSMIT_SECONDS:
             # Upstreams take the last echo they see, so the double has it too.
             doubled = with_echo(payload, seen.upstream.echo)
             return self.forward(doubled, seen.upstream, Reason.OPENED)
@@ -151,7 +151,7 @@
         seen = self.flows.find(before) if before else None
         if seen is None or seen.open:
             return frozenset()
-        if seen.last_seen_at + REPEAT_SECONDS > now:
+        if seen.last_seen_at + MIN_RETRANSMIT_SECONDS > now:
             seen.upstream.health.record_refusal(now)
         return frozenset((seen.upstream.record.name,))
 
--- a/burdocksill/packets/openings.py
+++ b/burdocksill/packets/openings.py
@@ -10,7 +10,11 @@
 from collections import deque
 from collections.abc import Iterator
 
-from burdocksill.packets.flows import REPEAT_SECONDS, FlowKey, TrackedFlow
+from burdocksill.packets.flows import (
+    MIN_RETRANSMIT_SECONDS,
+    FlowKey,
+    TrackedFlow,
+)
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -21,7 +25,7 @@
 # sooner than the client itself would.
 USUAL_FACTOR: Final = 6.0
 FEWEST_SECONDS: Final = 0.02
-MOST_SECONDS: Final = REPEAT_SECONDS
+MOST_SECONDS: Final = MIN_RETRANSMIT_SECONDS
 # The usual time is a moving quantile that four of five openings stay below.
 STEP_UP: Final = 1.08
 STEP_DOWN: Final = 1 / 1.02
--- a/burdocksill_lab/soak/broken.py
+++ b/burdocksill_lab/soak/broken.py
@@ -43,7 +43,7 @@
 
 def count_backlog() -> None:
     """Take repeats that have waited in this node for silence."""
-    flows.REPEAT_SECONDS = -1  # type: ignore[misc]
+    flows.MIN_RETRANSMIT_SECONDS = -1  # type: ignore[misc]
     core.BEHIND_SECONDS = 1e9  # type: ignore[misc]
 
 
