--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -17,7 +17,7 @@
 from burdocksill.packets.settings import PacketSettings
 from burdocksill.packets.store_cache import StoreCache, SyncProgress
 from burdocksill.packets.updater import Decoder, StateUpdater
-from burdocksill.packets.upstreams import Upstreams
+from burdocksill.packets.upstreams import UpstreamRegistry
 from burdocksill.packets.verdicts import Drop, Forward, Reason, Reset
 
 TYPE_CHECKING = False
@@ -156,7 +156,7 @@
 ) -> PacketCore:
     """Compose what decides for packets."""
     table = RoutingTable()
-    upstreams = Upstreams()
+    upstreams = UpstreamRegistry()
     progress = SyncProgress(clock=age_clock)
     placer = PacketPlacer(
         domain=settings.domain,
--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -25,7 +25,7 @@
 from burdocksill.packets.upstreams import (
     ABSENT_SECONDS,
     KnownUpstream,
-    Upstreams,
+    UpstreamRegistry,
 )
 from burdocksill.packets.verdicts import Drop, Forward, Reason, Reset, Verdict
 
@@ -72,7 +72,7 @@
         *,
         client_port: int,
         table: RoutingTable,
-        upstreams: Upstreams,
+        upstreams: UpstreamRegistry,
         placer: PacketPlacer,
         freshness: Freshness,
         log: DecisionLog,
--- a/burdocksill/packets/isolation.py
+++ b/burdocksill/packets/isolation.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from typing import Final
 
-    from burdocksill.packets.upstreams import Upstreams
+    from burdocksill.packets.upstreams import UpstreamRegistry
 
 # A call that the store did not answer counts for so long; it is made again
 # sooner, for as long as the other domains are suspected.
@@ -41,7 +41,7 @@
         *,
         domain: str,
         out: set[str],
-        upstreams: Upstreams,
+        upstreams: UpstreamRegistry,
         outages: DomainOutageDetector,
     ) -> None:
         """Take all fields; `out` are the domains that were taken out."""
--- a/burdocksill/packets/losses.py
+++ b/burdocksill/packets/losses.py
@@ -12,7 +12,11 @@
 
 from burdocksill.packets.flows import FlowTable
 from burdocksill.packets.health import LAPSED_ANSWERS, QUICK_SECONDS
-from burdocksill.packets.upstreams import KnownUpstream, Presence, Upstreams
+from burdocksill.packets.upstreams import (
+    KnownUpstream,
+    Presence,
+    UpstreamRegistry,
+)
 from burdocksill.packets.verdicts import Reason
 
 
@@ -21,7 +25,9 @@
 
     __slots__ = ('flows', 'upstreams')
 
-    def __init__(self, *, upstreams: Upstreams, flows: FlowTable) -> None:
+    def __init__(
+        self, *, upstreams: UpstreamRegistry, flows: FlowTable
+    ) -> None:
         """Take all fields."""
         self.upstreams = upstreams
         self.flows = flows
@@ -44,7 +50,7 @@
         presence = self.upstreams.presence(upstream, now)
         if presence is Presence.GONE and health.unanswered_flows:
             return Reason.UPSTREAM_GONE
-        silent = self.upstreams.fell_silent(upstream)
+        silent = self.upstreams.stopped_renewing(upstream)
         if silent and health.keeps_waiting(now, upstream.pool.recent):
             return Reason.UPSTREAM_GONE
         return None
--- a/burdocksill/packets/outages.py
+++ b/burdocksill/packets/outages.py
@@ -17,7 +17,7 @@
 from itertools import chain
 
 from burdocksill.observe.early import EarlyLogger
-from burdocksill.packets.upstreams import KnownUpstream, Upstreams
+from burdocksill.packets.upstreams import KnownUpstream, UpstreamRegistry
 from burdocksill.readers.messages import Sign
 
 TYPE_CHECKING = False
@@ -225,7 +225,7 @@
 
     __slots__ = ('domains', 'on_observation', 'own', 'upstreams')
 
-    def __init__(self, upstreams: Upstreams) -> None:
+    def __init__(self, upstreams: UpstreamRegistry) -> None:
         """Begin with nothing seen."""
         self.upstreams = upstreams
         self.domains: dict[str, DomainSigns] = {}
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -10,7 +10,11 @@
 from burdocksill.packets.messages import Route, WeightedService
 from burdocksill.packets.outages import DomainOutageDetector
 from burdocksill.packets.routing import RoutingTable
-from burdocksill.packets.upstreams import KnownUpstream, Presence, Upstreams
+from burdocksill.packets.upstreams import (
+    KnownUpstream,
+    Presence,
+    UpstreamRegistry,
+)
 from burdocksill.packets.verdicts import Reason
 
 TYPE_CHECKING = False
@@ -95,7 +99,7 @@
         *,
         domain: str,
         table: RoutingTable,
-        upstreams: Upstreams,
+        upstreams: UpstreamRegistry,
         rng: Random,
         budget: ColdBudget | None = None,
         nodes: int = ASSUMED_NODES,
--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -16,7 +16,7 @@
 )
 from burdocksill.packets.placement import PacketPlacer
 from burdocksill.packets.routing import RoutingTable
-from burdocksill.packets.upstreams import Upstreams
+from burdocksill.packets.upstreams import UpstreamRegistry
 from burdocksill.platform.exceptions import RecordInvalidError
 from burdocksill.platform.values import Snapshot, StoredValue
 from burdocksill.readers.messages import ReaderEntry
@@ -42,7 +42,7 @@
         *,
         table: RoutingTable,
         placer: PacketPlacer,
-        upstreams: Upstreams,
+        upstreams: UpstreamRegistry,
         decode: Decoder,
     ) -> None:
         """Take all fields."""
@@ -136,7 +136,7 @@
 
     def see(self, record: UpstreamRecord, now: float) -> None:
         """Take in what an upstream says of itself."""
-        if self.upstreams.see(record, now):
+        if self.upstreams.register(record, now):
             logger.info(
                 'upstream seen',
                 extra={
@@ -149,7 +149,7 @@
 
     def lose(self, news: UpstreamRemoval, now: float) -> None:
         """Take note of an entry that vanished."""
-        if self.upstreams.lose(news.name, now):
+        if self.upstreams.mark_absent(news.name, now):
             logger.info(
                 'upstream lost',
                 extra={'upstream': news.name, 'cause': news.cause},
--- a/burdocksill/packets/upstreams.py
+++ b/burdocksill/packets/upstreams.py
@@ -117,7 +117,7 @@
     return record.tag & ECHO_MASK
 
 
-class Upstreams:
+class UpstreamRegistry:
     """Find upstreams by service for new flows, by echo for open ones."""
 
     __slots__ = (
@@ -149,17 +149,17 @@
         # can't be.
         self.store_healthy_since: float = 0
 
-    def see(self, record: UpstreamRecord, now: float) -> bool:
+    def register(self, record: UpstreamRecord, now: float) -> bool:
         """Take in an entry; return True if it differs in more than age."""
         known = self.by_name.get(record.name)
         if known is None or known.record.started_at != record.started_at:
             self.add(record, now)
             return True
         changed = known.record != record or bool(known.absent_since)
-        self.unplace(known)
+        self.remove_candidate(known)
         known.record = record
         known.absent_since = 0
-        self.place(known)
+        self.add_candidate(known)
         if record.cold_seconds:
             known.warm_at = now + record.cold_seconds
         return changed
@@ -168,7 +168,7 @@
         """Start to know an upstream, or a new start of one."""
         before = self.by_name.get(record.name)
         if before is not None:
-            self.unplace(before)
+            self.remove_candidate(before)
         known = KnownUpstream(
             record=record,
             echo=echo_of(record),
@@ -183,7 +183,7 @@
         # node alike; the other gets no flows, as their packets would go astray.
         if holder is None or record.name <= holder.record.name:
             self.by_echo[known.echo] = known
-        self.place(known)
+        self.add_candidate(known)
         if before is not None:
             self.replace(before, known)
         address = (record.host, record.port)
@@ -201,7 +201,7 @@
         is_later = 0 < before.record.started_at < known.record.started_at
         if is_later and before.since < known.since and not before.ended:
             before.ended = True
-            self.unplace(before)
+            self.remove_candidate(before)
             self.ended.append(before)
 
     def take_ended(self) -> list[KnownUpstream]:
@@ -216,7 +216,7 @@
         self.lapsed = []
         return lapsed
 
-    def place(self, known: KnownUpstream) -> None:
+    def add_candidate(self, known: KnownUpstream) -> None:
         """Let new flows find an upstream that wants them."""
         record = known.record
         if record.state is UpstreamState.READY:
@@ -224,7 +224,7 @@
             domains.setdefault(record.domain, {})[record.name] = known
             known.pool.slots += record.slots
 
-    def unplace(self, known: KnownUpstream) -> None:
+    def remove_candidate(self, known: KnownUpstream) -> None:
         """Hide an upstream from new flows."""
         record = known.record
         domains = self.by_service.get(record.service, {})
@@ -233,13 +233,13 @@
             del placed[record.name]
             known.pool.slots -= record.slots
 
-    def lose(self, name: str, now: float) -> bool:
+    def mark_absent(self, name: str, now: float) -> bool:
         """Take note that an entry vanished; return True if it was there."""
         known = self.by_name.get(name)
         if known is None or known.absent_since:
             return False
         known.absent_since = now
-        if self.fell_silent(known):
+        if self.stopped_renewing(known):
             self.lapsed.append(known)
         return True
 
@@ -249,7 +249,7 @@
             absent = known.absent_since
             if absent and now - absent > FORGET_SECONDS:
                 del self.by_name[name]
-                self.unplace(known)
+                self.remove_candidate(known)
                 self.forget_address(known)
                 if self.by_echo.get(known.echo) is known:
                     del self.by_echo[known.echo]
@@ -291,7 +291,7 @@
             and self.presence(known, now) is not Presence.GONE
         )
 
-    def fell_silent(self, known: KnownUpstream) -> bool:
+    def stopped_renewing(self, known: KnownUpstream) -> bool:
         """Return True when an entry vanished that the store did not lose."""
         since = self.store_healthy_since
         return 0 < since <= known.absent_since - LEASE_SECONDS
--- a/burdocksill_lab/soak/broken.py
+++ b/burdocksill_lab/soak/broken.py
@@ -15,7 +15,7 @@
 
 def forget_drain() -> None:
     """Give new flows to upstreams that leave."""
-    original = upstreams.Upstreams.place
+    original = upstreams.UpstreamRegistry.add_candidate
 
     def place(self: Any, known: Any) -> None:
         if known.record.state is UpstreamState.DRAINING:
@@ -24,7 +24,9 @@
             found[known.record.name] = known
         original(self, known)
 
-    upstreams.Upstreams.place = place  # type: ignore[method-assign]
+    upstreams.UpstreamRegistry.add_candidate = (  # type: ignore[method-assign]
+        place
+    )
 
 
 def forget_domains() -> None:
--- a/tests/steps/packets_placing.py
+++ b/tests/steps/packets_placing.py
@@ -8,21 +8,21 @@
 from packets_world import node_of, open_flows, world_of
 
 from burdocksill.packets.placement import PacketPlacer
-from burdocksill.packets.upstreams import Upstreams
+from burdocksill.packets.upstreams import UpstreamRegistry
 
 
 @when('{count:d} new flows in "{domain}" are placed')
 def place(context: Context, count: int, domain: str) -> None:
     """Open flows, and count the upstreams that are looked at."""
     looks = 0
-    look = Upstreams.presence
+    look = UpstreamRegistry.presence
 
-    def count_look(self: Upstreams, *given: object) -> object:
+    def count_look(self: UpstreamRegistry, *given: object) -> object:
         nonlocal looks
         looks += 1
         return look(self, *given)  # type: ignore[arg-type]
 
-    with mock.patch.object(Upstreams, 'presence', count_look):
+    with mock.patch.object(UpstreamRegistry, 'presence', count_look):
         for _ in range(count):
             open_flows(context, 1, domain)
             world_of(context).timeline.run(0.01)
--- a/tests/steps/packets_power.py
+++ b/tests/steps/packets_power.py
@@ -8,7 +8,7 @@
 from packets_outages import deployment_of
 from packets_world import busiest, mark, world_of
 
-from burdocksill.packets.upstreams import Upstreams
+from burdocksill.packets.upstreams import UpstreamRegistry
 from burdocksill.platform.records import UPSTREAMS
 from burdocksill_lab.packets.load import Served
 from burdocksill_lab.packets.power import PowerLoss
@@ -36,7 +36,9 @@
 @given('entries that vanish are waited for as if the store had lost them')
 def wait_for_entries(context: Context) -> None:
     """Choose the control for the time without power."""
-    patch = mock.patch.object(Upstreams, 'fell_silent', return_value=False)
+    patch = mock.patch.object(
+        UpstreamRegistry, 'stopped_renewing', return_value=False
+    )
     patch.start()
     context.add_cleanup(patch.stop)
 
--- a/tests/steps/packets_reporters.py
+++ b/tests/steps/packets_reporters.py
@@ -14,7 +14,7 @@
 from burdocksill.packets.header import Packet, parse_ipv4
 from burdocksill.packets.messages import UpstreamRecord, UpstreamState
 from burdocksill.packets.outages import DomainOutageDetector
-from burdocksill.packets.upstreams import KnownUpstream, Upstreams
+from burdocksill.packets.upstreams import KnownUpstream, UpstreamRegistry
 from burdocksill.readers.messages import Sign
 from burdocksill_lab.packets.load import ADDRESSES
 from burdocksill_lab.packets.network import AheadTimeline
@@ -157,9 +157,9 @@
 @given('the signs of {count:d} upstreams of a domain that all answer')
 def make_signs(context: Context, count: int) -> None:
     """Prepare a node's view of a domain, without a network."""
-    upstreams = Upstreams()
+    upstreams = UpstreamRegistry()
     for number in range(1, count + 1):
-        upstreams.see(
+        upstreams.register(
             UpstreamRecord(
                 name=f'i-{number:010x}',
                 tag=number,
--- a/tests/steps/platform_store.py
+++ b/tests/steps/platform_store.py
@@ -18,7 +18,7 @@
 from burdocksill.packets.routing import RoutingTable
 from burdocksill.packets.store_cache import StoreCache, SyncProgress
 from burdocksill.packets.updater import StateUpdater
-from burdocksill.packets.upstreams import Upstreams
+from burdocksill.packets.upstreams import UpstreamRegistry
 from burdocksill.packets.watcher import StoreWatcher
 from burdocksill.platform.calls import range_pages
 from burdocksill.platform.records import ALL_KEYS, MANIFEST, RecordDecoder
@@ -308,7 +308,7 @@
         context.lags.append(trio.current_time() - began)
 
     async def work(platform: StoreClient) -> Any:
-        upstreams = Upstreams()
+        upstreams = UpstreamRegistry()
         placer = PacketPlacer(
             domain='a',
             table=table,
