--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -98,7 +98,7 @@
 
     def seconds_until_due(self, now: float) -> float:
         """Return the seconds until there is something to conclude."""
-        if self.updater.upstreams.ended or self.updater.upstreams.lapsed:
+        if self.updater.upstreams.replaced or self.updater.upstreams.expired:
             return 0
         return max(0, self.forwarder.openings.next_due() - now)
 
--- a/burdocksill/packets/losses.py
+++ b/burdocksill/packets/losses.py
@@ -40,7 +40,7 @@
         one client misses it too.
         """
         health = upstream.health
-        if upstream.ended:
+        if upstream.is_replaced:
             return Reason.UPSTREAM_REPLACED
         if health.is_unresponsive(now):
             # Once its flows are ended nothing else would tell that it is
--- a/burdocksill/packets/upstreams.py
+++ b/burdocksill/packets/upstreams.py
@@ -39,7 +39,7 @@
     __slots__ = (
         'absent_since',
         'echo',
-        'ended',
+        'is_replaced',
         'flows',
         'health',
         'pool',
@@ -65,7 +65,7 @@
         # When its entry vanished; 0 while it is there.
         self.absent_since: float = 0
         # True once another process is known to run in its place.
-        self.ended = False
+        self.is_replaced = False
         self.flows: int = 0
         # Those of them whose client waits for an answer.
         self.waiting: int = 0
@@ -76,7 +76,7 @@
     @property
     def is_listed(self) -> bool:
         """Return True while its entry stands and no other replaces it."""
-        return not self.absent_since and not self.ended
+        return not self.absent_since and not self.is_replaced
 
     def presence(self, now: float, store_healthy_since: float) -> Presence:
         """Tell whether it is gone; before a stable time nobody can know."""
@@ -125,8 +125,8 @@
         'by_echo',
         'by_name',
         'by_service',
-        'ended',
-        'lapsed',
+        'replaced',
+        'expired',
         'pools',
         'store_healthy_since',
     )
@@ -139,8 +139,8 @@
         self.by_address: dict[tuple[str, int], KnownUpstream] = {}
         # Those whose end, or whose entry's end, whoever follows their flows
         # has not heard of yet.
-        self.ended: list[KnownUpstream] = []
-        self.lapsed: list[KnownUpstream] = []
+        self.replaced: list[KnownUpstream] = []
+        self.expired: list[KnownUpstream] = []
         # Those that want new flows, by service, failure domain and name.
         self.by_service: dict[str, dict[str, dict[str, KnownUpstream]]] = {}
         # What is in progress, by service.
@@ -199,21 +199,21 @@
         nothing: clocks of machines differ.
         """
         is_later = 0 < before.record.started_at < known.record.started_at
-        if is_later and before.since < known.since and not before.ended:
-            before.ended = True
+        if is_later and before.since < known.since and not before.is_replaced:
+            before.is_replaced = True
             self.remove_candidate(before)
-            self.ended.append(before)
+            self.replaced.append(before)
 
     def take_ended(self) -> list[KnownUpstream]:
         """Return the upstreams whose end nobody was told of yet."""
-        ended = self.ended
-        self.ended = []
+        ended = self.replaced
+        self.replaced = []
         return ended
 
     def take_lapsed(self) -> list[KnownUpstream]:
         """Return the upstreams whose entry's end nobody was told of yet."""
-        lapsed = self.lapsed
-        self.lapsed = []
+        lapsed = self.expired
+        self.expired = []
         return lapsed
 
     def add_candidate(self, known: KnownUpstream) -> None:
@@ -240,7 +240,7 @@
             return False
         known.absent_since = now
         if self.stopped_renewing(known):
-            self.lapsed.append(known)
+            self.expired.append(known)
         return True
 
     def forget_old(self, now: float) -> None:
@@ -298,7 +298,7 @@
 
     def presence(self, known: KnownUpstream, now: float) -> Presence:
         """Tell whether an upstream is gone, by what is certain."""
-        if known.ended:
+        if known.is_replaced:
             return Presence.GONE
         if not self.store_healthy_since and known.absent_since:
             return Presence.LAPSED
