--- a/burdocksill/packets/isolation.py
+++ b/burdocksill/packets/isolation.py
@@ -30,7 +30,7 @@
     __slots__ = (
         'domain',
         'on_suspected',
-        'out',
+        'domains_out',
         'outages',
         'silent_until',
         'upstreams',
@@ -40,13 +40,13 @@
         self,
         *,
         domain: str,
-        out: set[str],
+        domains_out: set[str],
         upstreams: UpstreamRegistry,
         outages: DomainOutageDetector,
     ) -> None:
-        """Take all fields; `out` are the domains that were taken out."""
+        """Take all fields; `domains_out` are those taken out."""
         self.domain = domain
-        self.out = out
+        self.domains_out = domains_out
         self.upstreams = upstreams
         self.outages = outages
         # Until when the store counts as out of reach.
@@ -56,7 +56,7 @@
 
     def is_isolated(self, now: float) -> bool:
         """Return True when new flows have nowhere to go but home."""
-        if self.domain not in self.out or not self.is_suspected(now):
+        if self.domain not in self.domains_out or not self.is_suspected(now):
             return False
         self.on_suspected()
         return now < self.silent_until
@@ -74,7 +74,7 @@
             name
             for domains in self.upstreams.by_service.values()
             for name, placed in domains.items()
-            if placed and name != self.domain and name not in self.out
+            if placed and name != self.domain and name not in self.domains_out
         }
 
     def record_store_timeout(self, now: float) -> None:
--- a/burdocksill/packets/metrics.py
+++ b/burdocksill/packets/metrics.py
@@ -71,7 +71,7 @@
             'upstreams': len(known),
             'upstreams_aside': sum(one.health.is_ejected(now) for one in known),
             'flows_seen': len(self.core.forwarder.flows.flows),
-            'domains_out': len(updater.placer.out),
+            'domains_out': len(updater.placer.domains_out),
             'domains_suspected': sum(
                 1 for _ in updater.placer.outages.suspected_domains(now)
             ),
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -87,7 +87,7 @@
         'domain',
         'isolation',
         'nodes',
-        'out',
+        'domains_out',
         'outages',
         'rng',
         'table',
@@ -111,7 +111,7 @@
         self.upstreams = upstreams
         self.rng = rng
         # Failure domains that operators have taken out.
-        self.out: set[str] = set()
+        self.domains_out: set[str] = set()
         self.budget: ColdBudget = ColdBudget() if budget is None else budget
         # How many nodes may send to the same cold upstream.
         self.nodes = nodes
@@ -120,7 +120,7 @@
         )
         self.isolation: IsolationDetector = IsolationDetector(
             domain=domain,
-            out=self.out,
+            domains_out=self.domains_out,
             upstreams=upstreams,
             outages=self.outages,
         )
@@ -205,7 +205,7 @@
         domains = self.upstreams.by_service.get(service, {})
         if sum(len(placed) for placed in domains.values()) <= MOST_RANKED:
             return []
-        usable = [name for name in domains if name not in self.out]
+        usable = [name for name in domains if name not in self.domains_out]
         well = (
             known
             for known in self.drawn(service, usable)
@@ -220,7 +220,7 @@
         A domain that is cut off tests the others.
         """
         in_trial = self.outages.is_domain_suspected(self.domain, now)
-        if not in_trial and self.domain in self.out:
+        if not in_trial and self.domain in self.domains_out:
             in_trial = self.isolation.is_suspected(now)
         return in_trial and self.rng.random() < TRIAL_SHARE
 
@@ -241,7 +241,7 @@
         """Return the upstreams of all domains, by what speaks against them."""
         ranks: tuple[list[KnownUpstream], ...] = tuple([] for _ in range(RANKS))
         for known in self.upstreams.of_service(service, now):
-            if known.record.domain not in self.out:
+            if known.record.domain not in self.domains_out:
                 ranks[self.rank(known, now, exclude)].append(known)
         return ranks
 
@@ -273,7 +273,7 @@
         worst: int = WELL,
     ) -> KnownUpstream | None:
         """Return a warm upstream of the own domain that does not queue."""
-        if self.domain in self.out:
+        if self.domain in self.domains_out:
             return None
         fitting = (
             known
--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -115,9 +115,13 @@
 
     def apply_domain(self, news: DomainUpdate) -> None:
         """Take a failure domain out, or back in."""
-        if news.out == (news.domain in self.placer.out):
+        if news.out == (news.domain in self.placer.domains_out):
             return
-        change = self.placer.out.add if news.out else self.placer.out.discard
+        change = (
+            self.placer.domains_out.add
+            if news.out
+            else self.placer.domains_out.discard
+        )
         change(news.domain)
         state = 'domain out' if news.out else 'domain back'
         logger.info(state, extra={'domain': news.domain})
