--- a/burdocksill/packets/admission.py
+++ b/burdocksill/packets/admission.py
@@ -57,7 +57,7 @@
         self.objective_seconds = objective_seconds
 
 
-class Pool:
+class ConcurrencyLimiter:
     """Hold what one node sees in progress on the upstreams of a service."""
 
     __slots__ = (
--- a/burdocksill/packets/decisions.py
+++ b/burdocksill/packets/decisions.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from burdocksill.packets.admission import Pool
+    from burdocksill.packets.admission import ConcurrencyLimiter
     from burdocksill.packets.messages import Route
     from burdocksill.packets.upstreams import KnownUpstream
 
@@ -44,7 +44,7 @@
         self,
         flow: tuple[int, int, int, int],
         route: Route,
-        pools: Mapping[str, Pool],
+        limiters: Mapping[str, ConcurrencyLimiter],
         repeat: int,
     ) -> None:
         """Write down a refusal with the load that it was decided by."""
@@ -57,12 +57,12 @@
                 'objective_s': route.objective_seconds,
                 'services': {
                     name: {
-                        'waiting': pool.waiting,
-                        'slots': pool.slots,
-                        'limit': round(pool.limit, 3),
-                        'usual_s': round(pool.usual, 3),
+                        'waiting': limiter.waiting,
+                        'slots': limiter.slots,
+                        'limit': round(limiter.limit, 3),
+                        'usual_s': round(limiter.usual, 3),
                     }
-                    for name, pool in pools.items()
+                    for name, limiter in limiters.items()
                 },
             },
         )
--- a/burdocksill/packets/flows.py
+++ b/burdocksill/packets/flows.py
@@ -197,7 +197,7 @@
     def took(self, flow: TrackedFlow, packet: Packet, now: float) -> None:
         """Learn from what an answer took that is acknowledged now."""
         seconds = now - flow.waiting_since
-        flow.upstream.pool.answered(
+        flow.upstream.limiter.answered(
             Answer(
                 seconds=seconds,
                 in_progress=flow.in_progress,
@@ -235,7 +235,7 @@
             if not flow.waiting_since:
                 flow.waiting_since = now
                 flow.upstream.begin_request()
-                flow.in_progress = flow.upstream.pool.in_progress
+                flow.in_progress = flow.upstream.limiter.in_progress
         elif flow.waiting_since:
             flow.repeated = True
             if fresh:
--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -215,8 +215,8 @@
 
         It was sent to nobody, so that the refusal is a true one.
         """
-        pools = self.placer.pools_of(route)
-        self.log.overloaded(packet.flow, route, pools, packet.ack)
+        limiters = self.placer.limiters_of(route)
+        self.log.overloaded(packet.flow, route, limiters, packet.ack)
         self.refused_for_load[route.priority] += 1
         return self.reset_packet(packet.flow, packet.ack, Reason.OVERLOADED)
 
--- a/burdocksill/packets/losses.py
+++ b/burdocksill/packets/losses.py
@@ -51,7 +51,7 @@
         if presence is Presence.GONE and health.unanswered_flows:
             return Reason.UPSTREAM_GONE
         silent = self.upstreams.stopped_renewing(upstream)
-        if silent and health.keeps_waiting(now, upstream.pool.recent):
+        if silent and health.keeps_waiting(now, upstream.limiter.recent):
             return Reason.UPSTREAM_GONE
         return None
 
@@ -71,7 +71,7 @@
 
         A node that is behind may have the answer's sign in its socket.
         """
-        recent = upstream.pool.recent
+        recent = upstream.limiter.recent
         if self.flows.is_backlogged or not recent or upstream.is_listed:
             return False
         longest = max(recent * LAPSED_ANSWERS, QUICK_SECONDS)
--- a/burdocksill/packets/metrics.py
+++ b/burdocksill/packets/metrics.py
@@ -86,12 +86,12 @@
     def loads(self) -> list[str]:
         """Write what this node sees in progress on each service."""
         lines: list[str] = []
-        for name, pool in self.core.updater.upstreams.pools.items():
+        for name, limiter in self.core.updater.upstreams.limiters.items():
             found = {
-                'requests_waiting': pool.waiting,
-                'slots': pool.slots,
-                'waiting_limit_per_slot': round(pool.limit, 3),
-                'usual_answer_seconds': round(pool.usual, 3),
+                'requests_waiting': limiter.waiting,
+                'slots': limiter.slots,
+                'waiting_limit_per_slot': round(limiter.limit, 3),
+                'usual_answer_seconds': round(limiter.usual, 3),
             }
             lines.extend(
                 f'burdocksill_{gauge}{{service="{name}"}} {value}'
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from typing import Final
 
-    from burdocksill.packets.admission import Pool
+    from burdocksill.packets.admission import ConcurrencyLimiter
 
 # A new flow leaves the own failure domain when the upstreams there have this
 # many requests in progress for each slot, as far as this node sees: it sees a
@@ -142,13 +142,13 @@
                 reason = chosen
         return reason
 
-    def pools_of(self, route: Route) -> dict[str, Pool]:
+    def limiters_of(self, route: Route) -> dict[str, ConcurrencyLimiter]:
         """Return what is in progress on the services of a route."""
-        pools = self.upstreams.pools
+        limiters = self.upstreams.limiters
         return {
-            share.service: pools[share.service]
+            share.service: limiters[share.service]
             for share in route.weighted_services
-            if share.service in pools
+            if share.service in limiters
         }
 
     def shuffled(
--- a/burdocksill/packets/protocols.py
+++ b/burdocksill/packets/protocols.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from burdocksill.packets.admission import Pool
+from burdocksill.packets.admission import ConcurrencyLimiter
 from burdocksill.packets.flows import FlowKey
 from burdocksill.packets.messages import Route
 from burdocksill.packets.upstreams import KnownUpstream
@@ -40,7 +40,7 @@
         self,
         flow: FlowKey,
         route: Route,
-        pools: Mapping[str, Pool],
+        limiters: Mapping[str, ConcurrencyLimiter],
         repeat: int,
     ) -> None:
         """Write down an opening that was refused for load."""
--- a/burdocksill/packets/upstreams.py
+++ b/burdocksill/packets/upstreams.py
@@ -5,7 +5,7 @@
 import enum
 from collections.abc import Collection, Iterator
 
-from burdocksill.packets.admission import Pool
+from burdocksill.packets.admission import ConcurrencyLimiter
 from burdocksill.packets.health import UpstreamHealth
 from burdocksill.packets.messages import UpstreamRecord, UpstreamState
 
@@ -42,7 +42,7 @@
         'is_replaced',
         'flows',
         'health',
-        'pool',
+        'limiter',
         'record',
         'since',
         'waiting',
@@ -55,7 +55,7 @@
         record: UpstreamRecord,
         echo: int,
         since: float,
-        pool: Pool,
+        limiter: ConcurrencyLimiter,
     ) -> None:
         """Take all fields."""
         self.record = record
@@ -71,7 +71,7 @@
         self.waiting: int = 0
         self.health: UpstreamHealth = UpstreamHealth()
         # All upstreams of its service.
-        self.pool = pool
+        self.limiter = limiter
 
     @property
     def is_listed(self) -> bool:
@@ -89,19 +89,19 @@
 
     def admits(self, urgency: int) -> bool:
         """Return True when it would answer one more flow in time."""
-        room = self.pool.room(urgency)
+        room = self.limiter.room(urgency)
         own = max(1, room * self.record.slots)
-        return self.pool.admits(urgency) and self.waiting < own
+        return self.limiter.admits(urgency) and self.waiting < own
 
     def begin_request(self) -> None:
         """Count a client that waits for an answer."""
         self.waiting += 1
-        self.pool.waiting += 1
+        self.limiter.waiting += 1
 
     def end_request(self) -> None:
         """Count it out again."""
         self.waiting -= 1
-        self.pool.waiting -= 1
+        self.limiter.waiting -= 1
 
     def is_cold(self, now: float) -> bool:
         """Return True while it is slow after its start."""
@@ -127,7 +127,7 @@
         'by_service',
         'replaced',
         'expired',
-        'pools',
+        'limiters',
         'store_healthy_since',
     )
 
@@ -144,7 +144,7 @@
         # Those that want new flows, by service, failure domain and name.
         self.by_service: dict[str, dict[str, dict[str, KnownUpstream]]] = {}
         # What is in progress, by service.
-        self.pools: dict[str, Pool] = {}
+        self.limiters: dict[str, ConcurrencyLimiter] = {}
         # Since when the list has been read without trouble; 0 while that
         # can't be.
         self.store_healthy_since: float = 0
@@ -173,7 +173,9 @@
             record=record,
             echo=echo_of(record),
             since=now,
-            pool=self.pools.setdefault(record.service, Pool()),
+            limiter=self.limiters.setdefault(
+                record.service, ConcurrencyLimiter()
+            ),
         )
         if record.cold_seconds:
             known.warm_at = now + record.cold_seconds
@@ -222,7 +224,7 @@
         if record.state is UpstreamState.READY:
             domains = self.by_service.setdefault(record.service, {})
             domains.setdefault(record.domain, {})[record.name] = known
-            known.pool.slots += record.slots
+            known.limiter.slots += record.slots
 
     def remove_candidate(self, known: KnownUpstream) -> None:
         """Hide an upstream from new flows."""
@@ -231,7 +233,7 @@
         placed = domains.get(record.domain, {})
         if placed.get(record.name) is known:
             del placed[record.name]
-            known.pool.slots -= record.slots
+            known.limiter.slots -= record.slots
 
     def mark_absent(self, name: str, now: float) -> bool:
         """Take note that an entry vanished; return True if it was there."""
--- a/burdocksill_lab/packets/deployment.py
+++ b/burdocksill_lab/packets/deployment.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from burdocksill.packets.admission import Pool
+from burdocksill.packets.admission import ConcurrencyLimiter
 from burdocksill_lab.packets.load import Call, Callers, Served, count_served
 from burdocksill_lab.packets.upstream import LabUpstream
 from burdocksill_lab.packets.world import Objective, PacketWorld
@@ -51,7 +51,7 @@
         return lambda now: rate * self.at(now)
 
 
-class OpenPool(Pool):
+class UnlimitedLimiter(ConcurrencyLimiter):
     """Admit every flow, as a node without admission does."""
 
     __slots__ = ()
@@ -89,8 +89,8 @@
             for _ in range(self.nodes):
                 node = self.world.add_node(f'd{number}')
                 if not self.admission:
-                    pools = node.core.updater.upstreams.pools
-                    pools['ledger'] = OpenPool()
+                    limiters = node.core.updater.upstreams.limiters
+                    limiters['ledger'] = UnlimitedLimiter()
         for number in range(self.domains):
             for _ in range(self.upstreams):
                 self.add_upstream(f'd{number}')
--- a/tests/steps/packets_admission.py
+++ b/tests/steps/packets_admission.py
@@ -183,7 +183,7 @@
     for one in known[1:]:
         for _ in range(one.record.slots):
             one.begin_request()
-    known[0].pool.limit = 0.9
+    known[0].limiter.limit = 0.9
 
 
 @then('an opening there is refused for load')
