--- a/burdocksill/packets/admission.py
+++ b/burdocksill/packets/admission.py
@@ -64,7 +64,7 @@
         'limit',
         'recent',
         'slots',
-        'usual',
+        'baseline_seconds',
         'usual_at',
         'usual_size',
         'waiting',
@@ -78,7 +78,7 @@
         # What answers take now, queued or not; 0 before the first.
         self.recent: float = 0
         # What answers take that need not queue; 0 before the first.
-        self.usual: float = 0
+        self.baseline_seconds: float = 0
         self.usual_at: float = 0
         self.usual_size: float = 0
 
@@ -87,7 +87,7 @@
         """Return the requests in progress for each slot."""
         return self.waiting / self.slots if self.slots else 0
 
-    def room(self, urgency: int) -> float:
+    def limit_for(self, urgency: int) -> float:
         """Return how many requests may be in progress for each slot."""
         return self.limit * (1 + URGENT_EXTRA * urgency)
 
@@ -97,7 +97,7 @@
         While nothing of this node's is in progress there it always would:
         without answers the limit would stay where it is for good.
         """
-        return not self.waiting or self.in_progress < self.room(urgency)
+        return not self.waiting or self.in_progress < self.limit_for(urgency)
 
     def answered(self, answer: Answer, now: float) -> None:
         """Move the limit by what one answer took."""
@@ -110,7 +110,7 @@
         self.remember_usual(answer.seconds, now)
         wanted = max(
             answer.objective_seconds * OBJECTIVE_SHARE,
-            self.usual * QUEUED_FACTOR,
+            self.baseline_seconds * QUEUED_FACTOR,
         )
         if answer.seconds <= wanted:
             self.limit += self.limit * IN_TIME_STEP
@@ -123,11 +123,13 @@
         """Keep what answers take that need not queue."""
         gap = now - self.usual_at
         self.usual_at = now
-        if self.usual == 0:
-            self.usual = seconds
+        if self.baseline_seconds == 0:
+            self.baseline_seconds = seconds
             return
-        if seconds < self.usual:
-            self.usual += (seconds - self.usual) * FASTER_STEP
+        if seconds < self.baseline_seconds:
+            self.baseline_seconds += (
+                seconds - self.baseline_seconds
+            ) * FASTER_STEP
             return
-        slower = self.usual * (1 + SLOWER_PER_SECOND * gap)
-        self.usual = min(seconds, slower)
+        slower = self.baseline_seconds * (1 + SLOWER_PER_SECOND * gap)
+        self.baseline_seconds = min(seconds, slower)
--- a/burdocksill/packets/decisions.py
+++ b/burdocksill/packets/decisions.py
@@ -60,7 +60,7 @@
                         'waiting': limiter.waiting,
                         'slots': limiter.slots,
                         'limit': round(limiter.limit, 3),
-                        'usual_s': round(limiter.usual, 3),
+                        'usual_s': round(limiter.baseline_seconds, 3),
                     }
                     for name, limiter in limiters.items()
                 },
--- a/burdocksill/packets/metrics.py
+++ b/burdocksill/packets/metrics.py
@@ -91,7 +91,7 @@
                 'requests_waiting': limiter.waiting,
                 'slots': limiter.slots,
                 'waiting_limit_per_slot': round(limiter.limit, 3),
-                'usual_answer_seconds': round(limiter.usual, 3),
+                'usual_answer_seconds': round(limiter.baseline_seconds, 3),
             }
             lines.extend(
                 f'burdocksill_{gauge}{{service="{name}"}} {value}'
--- a/burdocksill/packets/upstreams.py
+++ b/burdocksill/packets/upstreams.py
@@ -89,7 +89,7 @@
 
     def admits(self, urgency: int) -> bool:
         """Return True when it would answer one more flow in time."""
-        room = self.limiter.room(urgency)
+        room = self.limiter.limit_for(urgency)
         own = max(1, room * self.record.slots)
         return self.limiter.admits(urgency) and self.waiting < own
 
--- a/burdocksill_lab/packets/deployment.py
+++ b/burdocksill_lab/packets/deployment.py
@@ -56,7 +56,7 @@
 
     __slots__ = ()
 
-    def room(self, urgency: int) -> float:
+    def limit_for(self, urgency: int) -> float:
         """Return that there is room for any number."""
         return float('inf')
 
