--- a/burdocksill/packets/admission.py
+++ b/burdocksill/packets/admission.py
@@ -61,10 +61,10 @@
     """Hold what one node sees in progress on the upstreams of a service."""
 
     __slots__ = (
+        'baseline_seconds',
         'limit',
         'recent',
         'slots',
-        'baseline_seconds',
         'usual_at',
         'usual_size',
         'waiting',
--- a/burdocksill/packets/flows.py
+++ b/burdocksill/packets/flows.py
@@ -42,10 +42,10 @@
     __slots__ = (
         'ack',
         'in_progress',
+        'last_seen_at',
         'objective_seconds',
         'open',
         'repeated',
-        'last_seen_at',
         'seq',
         'upstream',
         'waiting_since',
@@ -76,7 +76,7 @@
 class FlowTable:
     """Keep the flows seen last, the oldest first."""
 
-    __slots__ = ('answers', 'is_backlogged', 'flows', 'limit', 'table')
+    __slots__ = ('answers', 'flows', 'is_backlogged', 'limit', 'table')
 
     def __init__(
         self,
--- a/burdocksill/packets/isolation.py
+++ b/burdocksill/packets/isolation.py
@@ -29,8 +29,8 @@
 
     __slots__ = (
         'domain',
-        'on_suspected',
         'domains_out',
+        'on_suspected',
         'outages',
         'silent_until',
         'upstreams',
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -85,9 +85,9 @@
     __slots__ = (
         'budget',
         'domain',
+        'domains_out',
         'isolation',
         'nodes',
-        'domains_out',
         'outages',
         'rng',
         'table',
--- a/burdocksill/packets/upstreams.py
+++ b/burdocksill/packets/upstreams.py
@@ -39,9 +39,9 @@
     __slots__ = (
         'absent_since',
         'echo',
-        'is_replaced',
         'flows',
         'health',
+        'is_replaced',
         'limiter',
         'record',
         'since',
@@ -125,9 +125,9 @@
         'by_echo',
         'by_name',
         'by_service',
-        'replaced',
         'expired',
         'limiters',
+        'replaced',
         'store_healthy_since',
     )
 
