--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -20,7 +20,7 @@
 from burdocksill.platform.records import ALL_KEYS, read_reader, write_reader
 from burdocksill.platform.store import StoreClient
 from burdocksill.readers.changes import ChangeLog
-from burdocksill.readers.claims import Claim
+from burdocksill.readers.election import Claim
 from burdocksill.readers.exchange import Candidate, PeerExchange, SharedReadGate
 from burdocksill.readers.messages import Reader
 from burdocksill.readers.publisher import Publisher
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -12,8 +12,8 @@
 from burdocksill.network.protocols import DatagramSocket
 from burdocksill.observe.lines import StateLogger
 from burdocksill.platform.values import StoredValue
-from burdocksill.readers.claims import KEEP_SECONDS, LEASE_SECONDS, Claim
 from burdocksill.readers.datagrams import Ask, Message, Offer, Signs, Update
+from burdocksill.readers.election import KEEP_SECONDS, LEASE_SECONDS, Claim
 from burdocksill.readers.messages import ReaderEntry
 from burdocksill.readers.protocols import LeaseStore
 from burdocksill.readers.publisher import Publisher
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -17,8 +17,8 @@
 from burdocksill.platform.values import Snapshot, StoredValue
 from burdocksill.readers import changes
 from burdocksill.readers.changes import ChangeLog
-from burdocksill.readers.claims import Claim
 from burdocksill.readers.datagrams import Ask, Offer, Signs, Update
+from burdocksill.readers.election import Claim
 from burdocksill.readers.messages import Reader, ReaderEntry, Sign
 from burdocksill.readers.subscription import Subscription
 from burdocksill.readers.wire import (
