--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -20,7 +20,7 @@
 from burdocksill.platform.records import ALL_KEYS, read_reader, write_reader
 from burdocksill.platform.store import StoreClient
 from burdocksill.readers.changes import ChangeLog
-from burdocksill.readers.election import Claim
+from burdocksill.readers.election import ReaderElection
 from burdocksill.readers.exchange import Candidate, PeerExchange, SharedReadGate
 from burdocksill.readers.messages import Reader
 from burdocksill.readers.publisher import Publisher
@@ -178,7 +178,7 @@
     # A waiting call holds its connection, so leases have one of their own.
     platform = make_platform(settings, runtime)
     itself = Reader(name=settings.name, address=peer)
-    claim = Claim(
+    claim = ReaderElection(
         itself=itself,
         domain=settings.domain,
         cores=settings.cores,
--- a/burdocksill/readers/election.py
+++ b/burdocksill/readers/election.py
@@ -39,7 +39,7 @@
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
-class Claim:
+class ReaderElection:
     """Keep whether this node reads for its domain, and when to try to."""
 
     itself: Reader
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -13,7 +13,11 @@
 from burdocksill.observe.lines import StateLogger
 from burdocksill.platform.values import StoredValue
 from burdocksill.readers.datagrams import Ask, Message, Offer, Signs, Update
-from burdocksill.readers.election import KEEP_SECONDS, LEASE_SECONDS, Claim
+from burdocksill.readers.election import (
+    KEEP_SECONDS,
+    LEASE_SECONDS,
+    ReaderElection,
+)
 from burdocksill.readers.messages import ReaderEntry
 from burdocksill.readers.protocols import LeaseStore
 from burdocksill.readers.publisher import Publisher
@@ -155,7 +159,7 @@
 class Candidate:
     """Offer this node as its domain's reader, and keep the lease if it is."""
 
-    claim: Claim
+    claim: ReaderElection
     # The domain's entry in the store, and what this node writes there.
     key: str
     value: bytes
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -18,7 +18,7 @@
 from burdocksill.readers import changes
 from burdocksill.readers.changes import ChangeLog
 from burdocksill.readers.datagrams import Ask, Offer, Signs, Update
-from burdocksill.readers.election import Claim
+from burdocksill.readers.election import ReaderElection
 from burdocksill.readers.messages import Reader, ReaderEntry, Sign
 from burdocksill.readers.subscription import Subscription
 from burdocksill.readers.wire import (
@@ -261,10 +261,10 @@
     assert abs(context.world.timeline.now - since - seconds) < 0.01, since
 
 
-def make_claim(context: Context, cores: float, seed: int) -> Claim:
+def make_claim(context: Context, cores: float, seed: int) -> ReaderElection:
     """Prepare a node that may offer itself."""
     context.now = 50.0
-    return Claim(
+    return ReaderElection(
         itself=Reader(name='entry-1', address=Address('10.1.0.1', 7720)),
         domain='a',
         cores=cores,
