--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -21,7 +21,11 @@
 from burdocksill.platform.store import StoreClient
 from burdocksill.readers.changes import ChangeLog
 from burdocksill.readers.election import ReaderElection
-from burdocksill.readers.exchange import Candidate, PeerExchange, SharedReadGate
+from burdocksill.readers.exchange import (
+    ElectionTask,
+    PeerExchange,
+    SharedReadGate,
+)
 from burdocksill.readers.messages import Reader
 from burdocksill.readers.publisher import Publisher
 from burdocksill.readers.signs import SignExchange
@@ -33,7 +37,7 @@
     """Hold what a node does to know the store without calling it."""
 
     exchange: PeerExchange
-    candidate: Candidate
+    candidate: ElectionTask
     platform: StoreClient
     probe: StoreProbe
 
@@ -212,7 +216,7 @@
     directory.placer.isolation.on_suspected = probe.suspect
     return Sharing(
         exchange=exchange,
-        candidate=Candidate(
+        candidate=ElectionTask(
             claim=claim,
             key=READERS + settings.domain,
             value=write_reader(itself),
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -156,7 +156,7 @@
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
-class Candidate:
+class ElectionTask:
     """Offer this node as its domain's reader, and keep the lease if it is."""
 
     claim: ReaderElection
