--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -37,7 +37,7 @@
     """Hold what a node does to know the store without calling it."""
 
     exchange: PeerExchange
-    candidate: ElectionTask
+    election_task: ElectionTask
     platform: StoreClient
     probe: StoreProbe
 
@@ -53,7 +53,9 @@
     @property
     def reads(self) -> bool:
         """Return True while this node reads the store for its domain."""
-        return self.sharing is not None and self.sharing.candidate.claim.holds
+        return (
+            self.sharing is not None and self.sharing.election_task.claim.holds
+        )
 
     @property
     def platforms(self) -> list[StoreClient]:
@@ -97,13 +99,13 @@
                 nursery.start_soon(self.sharing.exchange.receive)
                 nursery.start_soon(self.sharing.exchange.ask)
                 nursery.start_soon(self.sharing.exchange.tell_signs)
-                nursery.start_soon(self.sharing.candidate.run)
+                nursery.start_soon(self.sharing.election_task.run)
                 nursery.start_soon(self.sharing.probe.run)
 
     async def leave(self) -> None:
         """Let another node read for the domain, as this one stops."""
         if self.sharing is not None:
-            await self.sharing.candidate.leave()
+            await self.sharing.election_task.leave()
 
     async def call_at(self, store: Address) -> None:
         """Call the store at another address from now on."""
@@ -216,7 +218,7 @@
     directory.placer.isolation.on_suspected = probe.suspect
     return Sharing(
         exchange=exchange,
-        candidate=ElectionTask(
+        election_task=ElectionTask(
             claim=claim,
             key=READERS + settings.domain,
             value=write_reader(itself),
