--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -54,7 +54,8 @@
     def reads(self) -> bool:
         """Return True while this node reads the store for its domain."""
         return (
-            self.sharing is not None and self.sharing.election_task.claim.holds
+            self.sharing is not None
+            and self.sharing.election_task.election.holds
         )
 
     @property
@@ -184,7 +185,7 @@
     # A waiting call holds its connection, so leases have one of their own.
     platform = make_platform(settings, runtime)
     itself = Reader(name=settings.name, address=peer)
-    claim = ReaderElection(
+    election = ReaderElection(
         itself=itself,
         domain=settings.domain,
         cores=settings.cores,
@@ -219,7 +220,7 @@
     return Sharing(
         exchange=exchange,
         election_task=ElectionTask(
-            claim=claim,
+            election=election,
             key=READERS + settings.domain,
             value=write_reader(itself),
             read_entry=partial(read_reader, settings.domain),
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -159,7 +159,7 @@
 class ElectionTask:
     """Offer this node as its domain's reader, and keep the lease if it is."""
 
-    claim: ReaderElection
+    election: ReaderElection
     # The domain's entry in the store, and what this node writes there.
     key: str
     value: bytes
@@ -179,14 +179,14 @@
         """Offer and renew until the node stops."""
         while True:
             await trio.sleep(self.pause())
-            began = self.claim.holds
+            began = self.election.holds
             try:
                 async with self.lock:
                     await self.step()
             except BurdocksillError as error:
                 # Nothing is lost: the lease runs on, or nobody holds one and
                 # each node reads the store by itself until the next try.
-                self.claim.failed()
+                self.election.failed()
                 self.state_logger.log_change(
                     'lease call failed',
                     level=logging.WARNING,
@@ -196,30 +196,30 @@
                 self.state_logger.log_change(
                     'lease calls answered', level=logging.DEBUG
                 )
-            self.claim.check()
-            self.subscription.reads = self.claim.holds
-            if began != self.claim.holds:
+            self.election.check()
+            self.subscription.reads = self.election.holds
+            if began != self.election.holds:
                 # Others ask the new reader at once, and it must be current.
                 self.read_gate.wake()
 
     def pause(self) -> float:
         """Return the seconds until a lease is renewed or an offer is due."""
-        if self.claim.holds:
+        if self.election.holds:
             return KEEP_SECONDS
-        due_in = self.claim.due_in()
+        due_in = self.election.due_in()
         return min(max(due_in, SHORTEST_SLEEP_SECONDS), LOOK_SECONDS)
 
     async def step(self) -> None:
         """Renew the lease, or offer this node if that is due."""
         if self.stopped:
             return
-        began = self.claim.clock()
-        if self.claim.holds:
-            runs = await self.store.keep_lease_alive(self.claim.lease)
-            self.claim.renewed(began, runs=runs)
-        elif self.claim.is_due():
+        began = self.election.clock()
+        if self.election.holds:
+            runs = await self.store.keep_lease_alive(self.election.lease)
+            self.election.renewed(began, runs=runs)
+        elif self.election.is_due():
             await self.offer(began)
-        elif self.claim.looks():
+        elif self.election.looks():
             await self.is_taken()
 
     async def offer(self, began: float) -> None:
@@ -228,7 +228,7 @@
         The condition is what was seen before the first call: by the second,
         another node's entry may have been learned, which must not be replaced.
         """
-        expected = self.claim.entry.revision
+        expected = self.election.entry.revision
         if await self.is_taken():
             return
         lease = await self.store.grant_lease(LEASE_SECONDS)
@@ -238,7 +238,7 @@
             expected_revision=expected,
             lease=lease,
         )
-        self.claim.settle(result, lease, began)
+        self.election.settle(result, lease, began)
 
     async def is_taken(self) -> bool:
         """Return True when another node has become the reader meanwhile.
@@ -250,16 +250,16 @@
         if stored is None:
             return False
         known_revision = self.subscription.store_cache.revision
-        return self.claim.yields_to(self.read_entry(stored), known_revision)
+        return self.election.yields_to(self.read_entry(stored), known_revision)
 
     async def leave(self) -> None:
         """Let another node take over at once, as this one stops."""
         self.stopped = True
         async with self.lock:
-            if not self.claim.holds:
+            if not self.election.holds:
                 return
-            lease = self.claim.lease
-            self.claim.lose('this node stops')
+            lease = self.election.lease
+            self.election.lose('this node stops')
             self.subscription.reads = False
             try:
                 await self.store.revoke_lease(lease)
