--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -289,9 +289,9 @@
     for cores, number in ((quick, count), (slow, more)):
         waits = []
         for seed in range(number):
-            claim = make_claim(context, cores, seed)
-            claim.is_due()
-            waits.append(claim.offer_at - context.now)
+            election = make_claim(context, cores, seed)
+            election.is_due()
+            waits.append(election.offer_at - context.now)
         context.waits[cores] = waits
 
 
@@ -312,30 +312,30 @@
 @given('a node that reads for its domain')
 def make_reader(context: Context) -> None:
     """Let an offer succeed."""
-    context.claim = make_claim(context, 1, context.seed)
+    context.election = make_claim(context, 1, context.seed)
     accepted = SwapResult(accepted=True, revision=9, current=None)
-    context.claim.settle(accepted, 7, context.now)
-    assert context.claim.holds
+    context.election.settle(accepted, 7, context.now)
+    assert context.election.holds
 
 
 @when('no renewal succeeds for {seconds:f} seconds')
 def fail_renewals(context: Context, seconds: float) -> None:
     """Let time pass."""
     context.now += seconds
-    context.claim.check()
+    context.election.check()
 
 
 @then('it does not read for its domain any more')
 def check_not_reader(context: Context) -> None:
     """Look at its state."""
-    assert not context.claim.holds
+    assert not context.election.holds
 
 
 @given('a node that finds its own old entry')
 def make_returned(context: Context) -> None:
     """Prepare a node whose entry of before still stands."""
-    context.claim = make_claim(context, 1, context.seed)
-    context.claim.directory = KnownReaders(reader=context.claim.itself)
+    context.election = make_claim(context, 1, context.seed)
+    context.election.directory = KnownReaders(reader=context.election.itself)
 
 
 @when('its offers fail for {seconds:d} seconds')
@@ -343,9 +343,9 @@
     """Let every offer go unanswered."""
     context.offers = 0
     for _ in range(seconds * 2):
-        if context.claim.is_due():
+        if context.election.is_due():
             context.offers += 1
-            context.claim.failed()
+            context.election.failed()
         context.now += 0.5
 
 
