--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -55,7 +55,7 @@
         """Return True while this node reads the store for its domain."""
         return (
             self.sharing is not None
-            and self.sharing.election_task.election.holds
+            and self.sharing.election_task.election.holds_lease
         )
 
     @property
--- a/burdocksill/readers/election.py
+++ b/burdocksill/readers/election.py
@@ -60,7 +60,7 @@
     retry_at: float = 0
 
     @property
-    def holds(self) -> bool:
+    def holds_lease(self) -> bool:
         """Return True while this node is the reader."""
         return self.lease != NO_LEASE
 
@@ -76,7 +76,7 @@
         An entry with its own name is left from its life before, or from a
         claim whose answer was lost: nobody reads by it.
         """
-        if self.holds or self.clock() < self.retry_at:
+        if self.holds_lease or self.clock() < self.retry_at:
             return False
         reader = self.entry.reader
         if reader is not None and reader.name == self.itself.name:
@@ -151,7 +151,7 @@
 
     def check(self) -> None:
         """Stop to be the reader once the lease must have ended."""
-        if self.holds and self.clock() - self.kept_at > LEASE_SECONDS:
+        if self.holds_lease and self.clock() - self.kept_at > LEASE_SECONDS:
             self.lose('the lease was not renewed in time')
 
     def lose(self, cause: str) -> None:
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -179,7 +179,7 @@
         """Offer and renew until the node stops."""
         while True:
             await trio.sleep(self.pause())
-            began = self.election.holds
+            began = self.election.holds_lease
             try:
                 async with self.lock:
                     await self.step()
@@ -197,14 +197,14 @@
                     'lease calls answered', level=logging.DEBUG
                 )
             self.election.check()
-            self.subscription.reads = self.election.holds
-            if began != self.election.holds:
+            self.subscription.reads = self.election.holds_lease
+            if began != self.election.holds_lease:
                 # Others ask the new reader at once, and it must be current.
                 self.read_gate.wake()
 
     def pause(self) -> float:
         """Return the seconds until a lease is renewed or an offer is due."""
-        if self.election.holds:
+        if self.election.holds_lease:
             return KEEP_SECONDS
         due_in = self.election.due_in()
         return min(max(due_in, SHORTEST_SLEEP_SECONDS), LOOK_SECONDS)
@@ -214,7 +214,7 @@
         if self.stopped:
             return
         began = self.election.clock()
-        if self.election.holds:
+        if self.election.holds_lease:
             runs = await self.store.keep_lease_alive(self.election.lease)
             self.election.renewed(began, runs=runs)
         elif self.election.is_due():
@@ -256,7 +256,7 @@
         """Let another node take over at once, as this one stops."""
         self.stopped = True
         async with self.lock:
-            if not self.election.holds:
+            if not self.election.holds_lease:
                 return
             lease = self.election.lease
             self.election.lose('this node stops')
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -315,7 +315,7 @@
     context.election = make_claim(context, 1, context.seed)
     accepted = SwapResult(accepted=True, revision=9, current=None)
     context.election.settle(accepted, 7, context.now)
-    assert context.election.holds
+    assert context.election.holds_lease
 
 
 @when('no renewal succeeds for {seconds:f} seconds')
@@ -328,7 +328,7 @@
 @then('it does not read for its domain any more')
 def check_not_reader(context: Context) -> None:
     """Look at its state."""
-    assert not context.election.holds
+    assert not context.election.holds_lease
 
 
 @given('a node that finds its own old entry')
