--- a/burdocksill/packets/metrics.py
+++ b/burdocksill/packets/metrics.py
@@ -75,7 +75,7 @@
             'domains_suspected': sum(
                 1 for _ in updater.placer.outages.suspected_domains(now)
             ),
-            'reads_for_domain': int(self.store_sync.reads),
+            'reads_for_domain': int(self.store_sync.is_reader),
         }
         lines = [
             f'# TYPE burdocksill_{name} gauge\nburdocksill_{name} {value}'
--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -51,7 +51,7 @@
     sharing: Sharing | None = None
 
     @property
-    def reads(self) -> bool:
+    def is_reader(self) -> bool:
         """Return True while this node reads the store for its domain."""
         return (
             self.sharing is not None
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -197,7 +197,7 @@
                     'lease calls answered', level=logging.DEBUG
                 )
             self.election.check()
-            self.subscription.reads = self.election.holds_lease
+            self.subscription.is_reader = self.election.holds_lease
             if began != self.election.holds_lease:
                 # Others ask the new reader at once, and it must be current.
                 self.read_gate.wake()
@@ -260,7 +260,7 @@
                 return
             lease = self.election.lease
             self.election.lose('this node stops')
-            self.subscription.reads = False
+            self.subscription.is_reader = False
             try:
                 await self.store.revoke_lease(lease)
             except BurdocksillError as error:
--- a/burdocksill/readers/signs.py
+++ b/burdocksill/readers/signs.py
@@ -54,7 +54,7 @@
         return None if entry is None else entry.reader
 
     @property
-    def reads(self) -> bool:
+    def is_reader(self) -> bool:
         """Return True when this node is the one that passes signs on."""
         return self.reader is not None and self.reader.name == self.itself.name
 
@@ -62,7 +62,7 @@
         """Learn from the domain's reader, or as the reader from its nodes."""
         self.received += len(signs)
         now = self.clock()
-        if self.reads:
+        if self.is_reader:
             if sender in self.publisher.subscribers:
                 self.take_reports(signs, reporter_of(sender), now)
         elif self.reader is not None and sender == self.reader.address:
@@ -84,7 +84,7 @@
     def tell(self) -> None:
         """Send all that is news to whom it is for."""
         own = self.known.pop_unsent()
-        if self.reads:
+        if self.is_reader:
             reporter = reporter_of(self.itself.address)
             self.waiting.extend(sign.seen_by(reporter) for sign in own)
             self.tell_nodes()
--- a/burdocksill/readers/subscription.py
+++ b/burdocksill/readers/subscription.py
@@ -57,7 +57,7 @@
     clock: Clock
     rng: Random
     # True while this node itself reads the store for its domain.
-    reads: bool = False
+    is_reader: bool = False
     # The latest revision of which a reader said that its changes are more than
     # a datagram holds.
     left_to_store: int = 0
@@ -85,7 +85,7 @@
 
     def calls_in(self) -> float:
         """Return the seconds until that may be so, 0 if it is."""
-        if self.reads or self.must_read:
+        if self.is_reader or self.must_read:
             return 0
         age = self.store_cache.age()
         if age <= OLD_SECONDS:
@@ -119,7 +119,7 @@
         """Return what to tell the own reader after a call that succeeded."""
         entry = self.directory.readers.get(self.domain)
         reader = None if entry is None else entry.reader
-        if self.reads or reader is None or not self.hears_reader:
+        if self.is_reader or reader is None or not self.hears_reader:
             return None
         offer = Offer(
             revision=self.store_cache.revision,
@@ -130,7 +130,7 @@
     def wants(self, offer: Offer) -> bool:
         """Return True when a follower knows what this reader can't read."""
         age = self.store_cache.age()
-        return self.reads and age > OLD_SECONDS and offer.age < age
+        return self.is_reader and age > OLD_SECONDS and offer.age < age
 
     def asks_in(self) -> float:
         """Return the seconds until another node should be asked."""
@@ -138,7 +138,7 @@
         if self.behind:
             return 0
         age = self.store_cache.age()
-        if self.reads and age < OLD_SECONDS:
+        if self.is_reader and age < OLD_SECONDS:
             # The store tells; others are asked only when it can't be reached.
             return OLD_SECONDS - age
         if age >= ASK_AGE_SECONDS:
--- a/burdocksill_lab/packets/fleet.py
+++ b/burdocksill_lab/packets/fleet.py
@@ -52,9 +52,9 @@
         return self.settings.listen.host
 
     @property
-    def reads(self) -> bool:
+    def is_reader(self) -> bool:
         """Return True while it reads the store for its domain."""
-        return self.store_sync.reads
+        return self.store_sync.is_reader
 
     @property
     def version(self) -> int:
@@ -156,7 +156,7 @@
         return next(
             node
             for node in self.living()
-            if node.settings.domain == domain and node.reads
+            if node.settings.domain == domain and node.is_reader
         )
 
     def living(self) -> Iterator[FleetNode]:
--- a/tests/steps/packets_admission.py
+++ b/tests/steps/packets_admission.py
@@ -239,7 +239,7 @@
             core=node.core,
             store_sync=SimpleNamespace(
                 calls=Counter(),
-                reads=False,
+                is_reader=False,
                 received_bytes=0,
                 truncated=0,
                 signs={},
--- a/tests/steps/readers_fleet.py
+++ b/tests/steps/readers_fleet.py
@@ -94,7 +94,7 @@
 
     async def step(fleet: SharedFleet) -> None:
         for node in list(fleet.living()):
-            if node.reads:
+            if node.is_reader:
                 fleet.kill(node)
 
     act(context, step)
@@ -137,7 +137,7 @@
     """Let the store refuse the readers."""
 
     async def step(fleet: SharedFleet) -> None:
-        turned = {node.host for node in fleet.living() if node.reads}
+        turned = {node.host for node in fleet.living() if node.is_reader}
         fleet.store.turned_away = turned
 
     act(context, step)
@@ -148,7 +148,7 @@
     """Let the store refuse who does not read for others."""
 
     async def step(fleet: SharedFleet) -> None:
-        turned = {node.host for node in fleet.living() if not node.reads}
+        turned = {node.host for node in fleet.living() if not node.is_reader}
         fleet.store.turned_away = turned
 
     act(context, step)
@@ -355,7 +355,7 @@
 
     async def step(fleet: SharedFleet) -> None:
         found = Counter(
-            node.settings.domain for node in fleet.living() if node.reads
+            node.settings.domain for node in fleet.living() if node.is_reader
         )
         wanted = {f'd{n}': 1 for n in range(context.story.domains)}
         assert found == wanted, found
--- a/tests/steps/readers_slow_links.py
+++ b/tests/steps/readers_slow_links.py
@@ -21,7 +21,7 @@
 def slow_down(fleet: SharedFleet, megabits: int, *, readers: bool) -> None:
     """Give nodes links that carry little."""
     for node in fleet.living():
-        if readers or not node.reads:
+        if readers or not node.is_reader:
             rate = megabits * MEGABIT_BYTES
             link = SlowLink(bytes_per_second=rate)
             fleet.network.links[node.host] = link
