--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -27,8 +27,8 @@
     SharedReadGate,
 )
 from burdocksill.readers.messages import Reader
+from burdocksill.readers.observations import SignExchange
 from burdocksill.readers.publisher import Publisher
-from burdocksill.readers.signs import SignExchange
 from burdocksill.readers.subscription import Subscription
 
 
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -19,9 +19,9 @@
     ReaderElection,
 )
 from burdocksill.readers.messages import ReaderEntry
+from burdocksill.readers.observations import GATHER_SECONDS, SignExchange
 from burdocksill.readers.protocols import LeaseStore
 from burdocksill.readers.publisher import Publisher
-from burdocksill.readers.signs import GATHER_SECONDS, SignExchange
 from burdocksill.readers.subscription import Subscription
 from burdocksill.readers.wire import decode, encode_ask, encode_offer
 
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -10,8 +10,8 @@
 from burdocksill.readers.changes import ChangeLog
 from burdocksill.readers.datagrams import Signs
 from burdocksill.readers.messages import Reader, Sign
+from burdocksill.readers.observations import GATHER_SECONDS, SignExchange
 from burdocksill.readers.publisher import Publisher, Subscriber
-from burdocksill.readers.signs import GATHER_SECONDS, SignExchange
 from burdocksill.readers.wire import decode
 from burdocksill_lab.packets.network import Address as Place
 from burdocksill_lab.packets.world import LabNode, PacketWorld
