--- a/burdocksill/packets/outages.py
+++ b/burdocksill/packets/outages.py
@@ -18,7 +18,7 @@
 
 from burdocksill.observe.early import EarlyLogger
 from burdocksill.packets.upstreams import KnownUpstream, UpstreamRegistry
-from burdocksill.readers.messages import Sign
+from burdocksill.readers.messages import Observation
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
@@ -230,7 +230,7 @@
         self.upstreams = upstreams
         self.domains: dict[str, DomainSigns] = {}
         # This node's own signs that others should hear of, once.
-        self.own: list[Sign] = []
+        self.own: list[Observation] = []
         # Called when there is one.
         self.on_observation: Callable[[], None] = ignore_event
 
@@ -249,17 +249,19 @@
 
     def tell(self, known: KnownUpstream, at: float, *, answered: bool) -> None:
         """Let other nodes hear of an own sign."""
-        sign = Sign(echo=known.echo, answered=answered, at=at, reporter=OWN)
+        sign = Observation(
+            echo=known.echo, answered=answered, at=at, reporter=OWN
+        )
         self.own.append(sign)
         self.on_observation()
 
-    def pop_unsent(self) -> list[Sign]:
+    def pop_unsent(self) -> list[Observation]:
         """Return the own signs that nobody was told of yet."""
         own = self.own
         self.own = []
         return own
 
-    def merge(self, sign: Sign, now: float) -> bool:
+    def merge(self, sign: Observation, now: float) -> bool:
         """Take in what another node saw; return False for no news."""
         known = self.upstreams.by_echo.get(sign.echo)
         if known is None or not 0 <= now - sign.at <= SIGN_SECONDS:
--- a/burdocksill/readers/datagrams.py
+++ b/burdocksill/readers/datagrams.py
@@ -3,7 +3,7 @@
 import attrs
 
 from burdocksill.platform.values import StoredValue
-from burdocksill.readers.messages import Sign
+from burdocksill.readers.messages import Observation
 
 
 @attrs.frozen(kw_only=True)
@@ -47,7 +47,7 @@
 class Signs:
     """Tell which upstreams answered or missed an opening, and who saw it."""
 
-    signs: tuple[Sign, ...]
+    signs: tuple[Observation, ...]
 
 
 Message = Ask | Update | Offer | Signs
--- a/burdocksill/readers/messages.py
+++ b/burdocksill/readers/messages.py
@@ -43,7 +43,7 @@
         self.revision = revision
 
 
-class Sign(Value):
+class Observation(Value):
     """Tell whether an upstream answered, and who saw that when.
 
     `at` is the steady time of the node that holds the sign.
@@ -66,9 +66,9 @@
         # Tells the nodes that saw something apart; 0 for this node itself.
         self.reporter = reporter
 
-    def seen_by(self, reporter: int) -> Sign:
+    def seen_by(self, reporter: int) -> Observation:
         """Return the same sign under another reporter."""
-        return Sign(
+        return Observation(
             echo=self.echo,
             answered=self.answered,
             at=self.at,
--- a/burdocksill/readers/observations.py
+++ b/burdocksill/readers/observations.py
@@ -12,7 +12,7 @@
 
 from burdocksill.network.addresses import Address
 from burdocksill.network.clock import Clock
-from burdocksill.readers.messages import Reader, Sign
+from burdocksill.readers.messages import Observation, Reader
 from burdocksill.readers.protocols import Directory, Sender, SignLearner
 from burdocksill.readers.publisher import Publisher
 from burdocksill.readers.wire import MOST_SIGNS, encode_signs
@@ -43,7 +43,7 @@
     clock: Clock
     send: Sender
     # What the reader has heard and not passed on yet.
-    waiting: list[Sign] = attrs.field(factory=list)
+    waiting: list[Observation] = attrs.field(factory=list)
     sent: int = 0
     received: int = 0
 
@@ -58,7 +58,7 @@
         """Return True when this node is the one that passes signs on."""
         return self.reader is not None and self.reader.name == self.itself.name
 
-    def take(self, signs: Sequence[Sign], sender: Address) -> None:
+    def take(self, signs: Sequence[Observation], sender: Address) -> None:
         """Learn from the domain's reader, or as the reader from its nodes."""
         self.received += len(signs)
         now = self.clock()
@@ -71,7 +71,7 @@
 
     def take_reports(
         self,
-        signs: Sequence[Sign],
+        signs: Sequence[Observation],
         reporter: int,
         now: float,
     ) -> None:
@@ -104,7 +104,7 @@
             else:
                 self.send_signs(signs, address)
 
-    def send_signs(self, signs: list[Sign], address: Address) -> None:
+    def send_signs(self, signs: list[Observation], address: Address) -> None:
         """Send signs in as many datagrams as they need."""
         now = self.clock()
         self.sent += len(signs)
@@ -112,7 +112,7 @@
             self.send(encode_signs(part, now), address)
 
 
-def parts_of(signs: list[Sign]) -> Iterator[list[Sign]]:
+def parts_of(signs: list[Observation]) -> Iterator[list[Observation]]:
     """Return as many signs at a time as a datagram carries."""
     for start in range(0, len(signs), MOST_SIGNS):
         yield signs[start : start + MOST_SIGNS]
--- a/burdocksill/readers/protocols.py
+++ b/burdocksill/readers/protocols.py
@@ -5,7 +5,7 @@
 from burdocksill.network.addresses import Address
 from burdocksill.platform.protocols import SwapResult
 from burdocksill.platform.values import Snapshot, StoredValue
-from burdocksill.readers.messages import ReaderEntry, Sign
+from burdocksill.readers.messages import Observation, ReaderEntry
 
 
 class StoreCache(Protocol):
@@ -46,10 +46,10 @@
 class SignLearner(Protocol):
     """Hold what openings on upstreams met."""
 
-    def pop_unsent(self) -> list[Sign]:
+    def pop_unsent(self) -> list[Observation]:
         """Return the own signs that nobody was told of yet."""
 
-    def merge(self, sign: Sign, now: float) -> bool:
+    def merge(self, sign: Observation, now: float) -> bool:
         """Take in what another node saw; return False for no news."""
 
 
--- a/burdocksill/readers/wire.py
+++ b/burdocksill/readers/wire.py
@@ -9,7 +9,7 @@
 
 from burdocksill.platform.values import StoredValue
 from burdocksill.readers.datagrams import Ask, Message, Offer, Signs, Update
-from burdocksill.readers.messages import Sign
+from burdocksill.readers.messages import Observation
 
 ASK_KIND: Final = 1
 # 2 stays free: older nodes send another layout under it.
@@ -85,7 +85,7 @@
     return Offer(revision=revision, age=age) if age >= 0 else None
 
 
-def encode_signs(signs: Iterable[Sign], now: float) -> bytes:
+def encode_signs(signs: Iterable[Observation], now: float) -> bytes:
     """Write signs with their ages; clocks of two nodes differ."""
     parts = [bytes((SIGNS_KIND,))]
     for sign in signs:
@@ -104,7 +104,7 @@
         return None
     return Signs(
         signs=tuple(
-            Sign(
+            Observation(
                 echo=echo,
                 reporter=reporter,
                 at=now - age / MILLISECONDS,
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -9,7 +9,7 @@
 from burdocksill.platform.records import write_reader
 from burdocksill.readers.changes import ChangeLog
 from burdocksill.readers.datagrams import Signs
-from burdocksill.readers.messages import Reader, Sign
+from burdocksill.readers.messages import Observation, Reader
 from burdocksill.readers.observations import GATHER_SECONDS, SignExchange
 from burdocksill.readers.publisher import Publisher, Subscriber
 from burdocksill.readers.wire import decode
@@ -62,7 +62,7 @@
         self.world.network.send(payload, source, (peer.host, peer.port))
         return True
 
-    def claim(self, signs: list[Sign]) -> None:
+    def claim(self, signs: list[Observation]) -> None:
         """Tell what was never seen, as a node that lies does."""
         reader = self.exchange.reader
         assert reader is not None
--- a/tests/steps/packets_outages.py
+++ b/tests/steps/packets_outages.py
@@ -11,7 +11,7 @@
 from burdocksill.observe.writer import LineWriter
 from burdocksill.packets.header import read_packet
 from burdocksill.packets.verdicts import Reason
-from burdocksill.readers.messages import Sign
+from burdocksill.readers.messages import Observation
 from burdocksill_lab.packets.outage import OutageDeployment
 from burdocksill_lab.packets.upstream import Condition, LabUpstream
 from burdocksill_lab.packets.world import ROUTE_PORT, PacketWorld
@@ -114,7 +114,7 @@
         now = deployment.world.timeline.now
         liar.claim(
             [
-                Sign(
+                Observation(
                     echo=one.tag & 0xFFFFFFFF,
                     answered=False,
                     at=now,
--- a/tests/steps/packets_reporters.py
+++ b/tests/steps/packets_reporters.py
@@ -15,7 +15,7 @@
 from burdocksill.packets.messages import UpstreamRecord, UpstreamState
 from burdocksill.packets.outages import DomainOutageDetector
 from burdocksill.packets.upstreams import KnownUpstream, UpstreamRegistry
-from burdocksill.readers.messages import Sign
+from burdocksill.readers.messages import Observation
 from burdocksill_lab.packets.load import ADDRESSES
 from burdocksill_lab.packets.network import AheadTimeline
 from burdocksill_lab.packets.outage import OutageDeployment
@@ -54,7 +54,9 @@
     now = liar.exchange.clock()
     liar.claim(
         [
-            Sign(echo=one.tag & 0xFFFFFFFF, answered=False, at=now, reporter=1)
+            Observation(
+                echo=one.tag & 0xFFFFFFFF, answered=False, at=now, reporter=1
+            )
             for one in first(context)[:3]
         ],
     )
@@ -187,7 +189,7 @@
 def report(context: Context, known: KnownUpstream, reporter: int) -> None:
     """Tell this node that another one missed an opening."""
     context.outages.merge(
-        Sign(
+        Observation(
             echo=known.echo,
             answered=False,
             at=context.now,
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -19,7 +19,7 @@
 from burdocksill.readers.changes import ChangeLog
 from burdocksill.readers.datagrams import Ask, Offer, Signs, Update
 from burdocksill.readers.election import ReaderElection
-from burdocksill.readers.messages import Reader, ReaderEntry, Sign
+from burdocksill.readers.messages import Observation, Reader, ReaderEntry
 from burdocksill.readers.subscription import Subscription
 from burdocksill.readers.wire import (
     MOST_SIGNS,
@@ -58,8 +58,10 @@
     offer = Offer(revision=2**64 - 1, age=0.5)
     signs = Signs(
         signs=(
-            Sign(echo=2**32 - 1, answered=True, at=-0.25, reporter=2**16 - 1),
-            Sign(echo=0, answered=False, at=0.0, reporter=1),
+            Observation(
+                echo=2**32 - 1, answered=True, at=-0.25, reporter=2**16 - 1
+            ),
+            Observation(echo=0, answered=False, at=0.0, reporter=1),
         ),
     )
     far = Update(
