--- a/burdocksill/readers/datagrams.py
+++ b/burdocksill/readers/datagrams.py
@@ -44,10 +44,10 @@
 
 
 @attrs.frozen(kw_only=True)
-class Signs:
+class Observations:
     """Tell which upstreams answered or missed an opening, and who saw it."""
 
     signs: tuple[Observation, ...]
 
 
-Message = Ask | Update | Offer | Signs
+Message = Ask | Update | Offer | Observations
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -12,7 +12,13 @@
 from burdocksill.network.protocols import DatagramSocket
 from burdocksill.observe.lines import StateLogger
 from burdocksill.platform.values import StoredValue
-from burdocksill.readers.datagrams import Ask, Message, Offer, Signs, Update
+from burdocksill.readers.datagrams import (
+    Ask,
+    Message,
+    Observations,
+    Offer,
+    Update,
+)
 from burdocksill.readers.election import (
     KEEP_SECONDS,
     LEASE_SECONDS,
@@ -105,7 +111,7 @@
                     self.read_gate.wake()
             case Offer():
                 self.take_offer(message, sender)
-            case Signs():
+            case Observations():
                 self.signs.take(message.signs, sender)
                 if self.signs.waiting:
                     self.news.set()
--- a/burdocksill/readers/wire.py
+++ b/burdocksill/readers/wire.py
@@ -8,7 +8,13 @@
 import attrs
 
 from burdocksill.platform.values import StoredValue
-from burdocksill.readers.datagrams import Ask, Message, Offer, Signs, Update
+from burdocksill.readers.datagrams import (
+    Ask,
+    Message,
+    Observations,
+    Offer,
+    Update,
+)
 from burdocksill.readers.messages import Observation
 
 ASK_KIND: Final = 1
@@ -97,12 +103,12 @@
     return b''.join(parts)
 
 
-def decode_signs(body: bytes, now: float) -> Signs | None:
+def decode_signs(body: bytes, now: float) -> Observations | None:
     """Read signs by this node's clock, None for anything else."""
     count, rest = divmod(len(body), SIGN.size)
     if rest or not 0 < count <= MOST_SIGNS:
         return None
-    return Signs(
+    return Observations(
         signs=tuple(
             Observation(
                 echo=echo,
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -8,7 +8,7 @@
 from burdocksill.platform.keys import READERS
 from burdocksill.platform.records import write_reader
 from burdocksill.readers.changes import ChangeLog
-from burdocksill.readers.datagrams import Signs
+from burdocksill.readers.datagrams import Observations
 from burdocksill.readers.messages import Observation, Reader
 from burdocksill.readers.observations import GATHER_SECONDS, SignExchange
 from burdocksill.readers.publisher import Publisher, Subscriber
@@ -50,7 +50,7 @@
     def receive(self, payload: bytes, source: Place) -> None:
         """Take what another node tells."""
         message = decode(payload, self.world.timeline.now)
-        if isinstance(message, Signs) and self.node.alive:
+        if isinstance(message, Observations) and self.node.alive:
             self.exchange.take(message.signs, Address(*source))
             if self.exchange.waiting:
                 self.has_news()
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -17,7 +17,7 @@
 from burdocksill.platform.values import Snapshot, StoredValue
 from burdocksill.readers import changes
 from burdocksill.readers.changes import ChangeLog
-from burdocksill.readers.datagrams import Ask, Offer, Signs, Update
+from burdocksill.readers.datagrams import Ask, Observations, Offer, Update
 from burdocksill.readers.election import ReaderElection
 from burdocksill.readers.messages import Observation, Reader, ReaderEntry
 from burdocksill.readers.subscription import Subscription
@@ -56,7 +56,7 @@
     )
     empty = Update(token=1, after=5, revision=5, age=0, stable=1.0)
     offer = Offer(revision=2**64 - 1, age=0.5)
-    signs = Signs(
+    signs = Observations(
         signs=(
             Observation(
                 echo=2**32 - 1, answered=True, at=-0.25, reporter=2**16 - 1
@@ -114,7 +114,7 @@
         if isinstance(message, Update):
             assert message.age >= 0
             assert message.revision >= message.after
-        elif isinstance(message, Signs):
+        elif isinstance(message, Observations):
             assert 0 < len(message.signs) <= MOST_SIGNS
             assert all(sign.at <= 0 for sign in message.signs)
         elif isinstance(message, Offer):
