--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -27,7 +27,7 @@
     SharedReadGate,
 )
 from burdocksill.readers.messages import Reader
-from burdocksill.readers.observations import SignExchange
+from burdocksill.readers.observations import ObservationExchange
 from burdocksill.readers.publisher import Publisher
 from burdocksill.readers.subscription import Subscription
 
@@ -198,7 +198,7 @@
         subscription=subscription,
         publisher=publisher,
         read_gate=SharedReadGate(subscription=subscription),
-        signs=SignExchange(
+        signs=ObservationExchange(
             itself=itself,
             domain=settings.domain,
             directory=directory,
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -25,7 +25,7 @@
     ReaderElection,
 )
 from burdocksill.readers.messages import ReaderEntry
-from burdocksill.readers.observations import GATHER_SECONDS, SignExchange
+from burdocksill.readers.observations import GATHER_SECONDS, ObservationExchange
 from burdocksill.readers.protocols import LeaseStore
 from burdocksill.readers.publisher import Publisher
 from burdocksill.readers.subscription import Subscription
@@ -80,7 +80,7 @@
     subscription: Subscription
     publisher: Publisher
     read_gate: SharedReadGate
-    signs: SignExchange
+    signs: ObservationExchange
     # Set while there is something to tell of upstreams.
     news: trio.Event = attrs.field(factory=trio.Event)
     state_logger: StateLogger = attrs.field(
--- a/burdocksill/readers/observations.py
+++ b/burdocksill/readers/observations.py
@@ -32,7 +32,7 @@
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
-class SignExchange:
+class ObservationExchange:
     """Tell the domain's reader what this node saw, or all that it told."""
 
     itself: Reader
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -10,7 +10,7 @@
 from burdocksill.readers.changes import ChangeLog
 from burdocksill.readers.datagrams import Observations
 from burdocksill.readers.messages import Observation, Reader
-from burdocksill.readers.observations import GATHER_SECONDS, SignExchange
+from burdocksill.readers.observations import GATHER_SECONDS, ObservationExchange
 from burdocksill.readers.publisher import Publisher, Subscriber
 from burdocksill.readers.wire import decode
 from burdocksill_lab.packets.network import Address as Place
@@ -26,7 +26,7 @@
 
     node: LabNode
     world: PacketWorld
-    exchange: SignExchange
+    exchange: ObservationExchange
     told_at: float = 0
     due: bool = False
     sent_bytes: int = 0
@@ -97,7 +97,7 @@
     def send(payload: bytes, peer: Address) -> bool:
         return sender.send(payload, peer)
 
-    exchange = SignExchange(
+    exchange = ObservationExchange(
         itself=Reader(name=node.name, address=address),
         domain=node.domain,
         directory=core.updater,
