--- a/burdocksill/readers/observations.py
+++ b/burdocksill/readers/observations.py
@@ -13,7 +13,7 @@
 from burdocksill.network.addresses import Address
 from burdocksill.network.clock import Clock
 from burdocksill.readers.messages import Observation, Reader
-from burdocksill.readers.protocols import Directory, Sender, SignLearner
+from burdocksill.readers.protocols import Directory, ObservationSink, Sender
 from burdocksill.readers.publisher import Publisher
 from burdocksill.readers.wire import MOST_SIGNS, encode_signs
 
@@ -38,7 +38,7 @@
     itself: Reader
     domain: str
     directory: Directory
-    known: SignLearner
+    known: ObservationSink
     publisher: Publisher
     clock: Clock
     send: Sender
--- a/burdocksill/readers/protocols.py
+++ b/burdocksill/readers/protocols.py
@@ -43,7 +43,7 @@
         """Take note of who reads for a failure domain."""
 
 
-class SignLearner(Protocol):
+class ObservationSink(Protocol):
     """Hold what openings on upstreams met."""
 
     def pop_unsent(self) -> list[Observation]:
