--- a/burdocksill_lab/packets/outage.py
+++ b/burdocksill_lab/packets/outage.py
@@ -8,7 +8,7 @@
 from burdocksill.packets.flows import FlowKey
 from burdocksill.packets.outages import DomainOutageDetector
 from burdocksill_lab.packets.load import Callers, Served, count_served
-from burdocksill_lab.packets.sharing import SignPeer, share_signs
+from burdocksill_lab.packets.sharing import ObservationPeer, share_signs
 from burdocksill_lab.packets.upstream import Condition, LabUpstream
 from burdocksill_lab.packets.world import LabNode, PacketWorld
 
@@ -77,7 +77,7 @@
     # True: callers use them all alike, so that some are idle for long.
     alike: bool = False
     callers: list[Callers] = attrs.field(factory=list)
-    peers: list[SignPeer] = attrs.field(factory=list)
+    peers: list[ObservationPeer] = attrs.field(factory=list)
     failed: list[LabUpstream] = attrs.field(factory=list)
     failed_at: float = 0
     # False while the store answers nobody.
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -21,7 +21,7 @@
 
 
 @attrs.define(kw_only=True)
-class SignPeer:
+class ObservationPeer:
     """Run the product's exchange of signs on one node."""
 
     node: LabNode
@@ -69,10 +69,10 @@
         self.exchange.send_signs(signs, reader.address)
 
 
-def share_signs(world: PacketWorld) -> list[SignPeer]:
+def share_signs(world: PacketWorld) -> list[ObservationPeer]:
     """Let all nodes share; the first of a domain reads for it."""
     peers = [make_peer(world, node) for node in world.nodes]
-    readers: dict[str, SignPeer] = {}
+    readers: dict[str, ObservationPeer] = {}
     for peer in peers:
         domain = peer.node.domain
         if domain not in readers:
@@ -89,7 +89,7 @@
     return peers
 
 
-def make_peer(world: PacketWorld, node: LabNode) -> SignPeer:
+def make_peer(world: PacketWorld, node: LabNode) -> ObservationPeer:
     """Connect a node with the others."""
     address = Address(node.address[0], PEER_PORT)
     core = node.core
@@ -111,7 +111,7 @@
         clock=world.time,
         send=send,
     )
-    sender = SignPeer(node=node, world=world, exchange=exchange)
+    sender = ObservationPeer(node=node, world=world, exchange=exchange)
     core.updater.placer.outages.on_observation = sender.has_news
     world.network.receivers[(address.host, PEER_PORT)] = sender.receive
     return sender
--- a/tests/steps/packets_reporters.py
+++ b/tests/steps/packets_reporters.py
@@ -19,7 +19,7 @@
 from burdocksill_lab.packets.load import ADDRESSES
 from burdocksill_lab.packets.network import AheadTimeline
 from burdocksill_lab.packets.outage import OutageDeployment
-from burdocksill_lab.packets.sharing import SignPeer
+from burdocksill_lab.packets.sharing import ObservationPeer
 from burdocksill_lab.packets.upstream import LabUpstream
 
 DOMAIN = 'd0'
@@ -34,7 +34,7 @@
 }
 
 
-def peers_at_home(context: Context) -> list[SignPeer]:
+def peers_at_home(context: Context) -> list[ObservationPeer]:
     """Return the nodes of the first domain, its reader first."""
     return [
         peer
@@ -43,13 +43,13 @@
     ]
 
 
-def wrong_peer(context: Context, wrong: str) -> SignPeer:
+def wrong_peer(context: Context, wrong: str) -> ObservationPeer:
     """Return the node that reports wrongly in one way."""
     peers = peers_at_home(context)
     return peers[min(WRONG[wrong], len(peers) - 1)]
 
 
-def claim(liar: SignPeer, context: Context) -> None:
+def claim(liar: ObservationPeer, context: Context) -> None:
     """Let a node report that three upstreams missed an opening."""
     now = liar.exchange.clock()
     liar.claim(
@@ -62,14 +62,14 @@
     )
 
 
-def cut_off(peer: SignPeer, deployment: OutageDeployment) -> None:
+def cut_off(peer: ObservationPeer, deployment: OutageDeployment) -> None:
     """Drop what a node sends to upstreams."""
     for one in deployment.world.upstreams.values():
         pair = frozenset((peer.node.address[0], one.address[0]))
         deployment.world.network.cuts.add(pair)
 
 
-def put_ahead(peer: SignPeer) -> None:
+def put_ahead(peer: ObservationPeer) -> None:
     """Move a node's steady clock."""
     node = peer.node
     ahead = AheadTimeline(
@@ -129,12 +129,12 @@
         upstream.on_open = note
 
 
-def outages_of(peer: SignPeer) -> DomainOutageDetector:
+def outages_of(peer: ObservationPeer) -> DomainOutageDetector:
     """Return what a node concludes from missed openings."""
     return peer.node.core.updater.placer.outages
 
 
-def honest(context: Context) -> list[SignPeer]:
+def honest(context: Context) -> list[ObservationPeer]:
     """Return the nodes of the first domain that report rightly."""
     wrong = [id(peer) for peer in context.wrong.values()]
     return [peer for peer in peers_at_home(context) if id(peer) not in wrong]
