--- a/burdocksill_lab/packets/outage.py
+++ b/burdocksill_lab/packets/outage.py
@@ -8,7 +8,7 @@
 from burdocksill.packets.flows import FlowKey
 from burdocksill.packets.outages import DomainOutageDetector
 from burdocksill_lab.packets.load import Callers, Served, count_served
-from burdocksill_lab.packets.sharing import ObservationPeer, share_signs
+from burdocksill_lab.packets.sharing import ObservationPeer, share_observations
 from burdocksill_lab.packets.upstream import Condition, LabUpstream
 from burdocksill_lab.packets.world import LabNode, PacketWorld
 
@@ -101,7 +101,7 @@
             isolation = node.core.updater.placer.isolation
             isolation.on_suspected = probe.suspect
         if self.shares:
-            self.peers = share_signs(self.world)
+            self.peers = share_observations(self.world)
         for domain in self.names():
             callers = Callers(
                 world=self.world,
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -69,7 +69,7 @@
         self.exchange.send_signs(signs, reader.address)
 
 
-def share_signs(world: PacketWorld) -> list[ObservationPeer]:
+def share_observations(world: PacketWorld) -> list[ObservationPeer]:
     """Let all nodes share; the first of a domain reads for it."""
     peers = [make_peer(world, node) for node in world.nodes]
     readers: dict[str, ObservationPeer] = {}
