--- a/burdocksill/readers/observations.py
+++ b/burdocksill/readers/observations.py
@@ -15,13 +15,13 @@
 from burdocksill.readers.messages import Observation, Reader
 from burdocksill.readers.protocols import Directory, ObservationSink, Sender
 from burdocksill.readers.publisher import Publisher
-from burdocksill.readers.wire import MOST_SIGNS, encode_signs
+from burdocksill.readers.wire import MAX_OBSERVATIONS, encode_signs
 
 # Signs that come together share a datagram.
 GATHER_SECONDS: Final = 0.04
 # No node is told more at once, however many signs there are: what is left out
 # is seen again, or its flows are placed as without any signs.
-MOST_WAITING: Final = 2 * MOST_SIGNS
+MOST_WAITING: Final = 2 * MAX_OBSERVATIONS
 # A reporter is named by 16 bits, none of which stand for the receiver itself.
 MOST_REPORTERES: Final = (1 << 16) - 1
 
@@ -114,5 +114,5 @@
 
 def parts_of(signs: list[Observation]) -> Iterator[list[Observation]]:
     """Return as many signs at a time as a datagram carries."""
-    for start in range(0, len(signs), MOST_SIGNS):
-        yield signs[start : start + MOST_SIGNS]
+    for start in range(0, len(signs), MAX_OBSERVATIONS):
+        yield signs[start : start + MAX_OBSERVATIONS]
--- a/burdocksill/readers/wire.py
+++ b/burdocksill/readers/wire.py
@@ -34,7 +34,7 @@
 # Echo, reporter, age in milliseconds, whether it answered.
 SIGN: Final = struct.Struct('>IHH?')
 # What one datagram carries without being split on its way.
-MOST_SIGNS: Final = 128
+MAX_OBSERVATIONS: Final = 128
 MILLISECONDS: Final = 1000
 OLDEST_SIGN_MS: Final = (1 << 16) - 1
 # The largest packed changes of an update. What is larger, each node reads from
@@ -106,7 +106,7 @@
 def decode_signs(body: bytes, now: float) -> Observations | None:
     """Read signs by this node's clock, None for anything else."""
     count, rest = divmod(len(body), SIGN.size)
-    if rest or not 0 < count <= MOST_SIGNS:
+    if rest or not 0 < count <= MAX_OBSERVATIONS:
         return None
     return Observations(
         signs=tuple(
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -22,7 +22,7 @@
 from burdocksill.readers.messages import Observation, Reader, ReaderEntry
 from burdocksill.readers.subscription import Subscription
 from burdocksill.readers.wire import (
-    MOST_SIGNS,
+    MAX_OBSERVATIONS,
     UPDATE,
     UPDATE_KIND,
     decode,
@@ -115,7 +115,7 @@
             assert message.age >= 0
             assert message.revision >= message.after
         elif isinstance(message, Observations):
-            assert 0 < len(message.signs) <= MOST_SIGNS
+            assert 0 < len(message.signs) <= MAX_OBSERVATIONS
             assert all(sign.at <= 0 for sign in message.signs)
         elif isinstance(message, Offer):
             assert message.age >= 0
