--- a/burdocksill/readers/wire.py
+++ b/burdocksill/readers/wire.py
@@ -32,7 +32,7 @@
 # Revision, whether the key was removed, length of key and value.
 CHANGE: Final = struct.Struct('>Q?HI')
 # Echo, reporter, age in milliseconds, whether it answered.
-SIGN: Final = struct.Struct('>IHH?')
+OBSERVATION: Final = struct.Struct('>IHH?')
 # What one datagram carries without being split on its way.
 MAX_OBSERVATIONS: Final = 128
 MILLISECONDS: Final = 1000
@@ -98,14 +98,14 @@
         age = round((now - sign.at) * MILLISECONDS)
         bounded = min(max(age, 0), OLDEST_SIGN_MS)
         parts.append(
-            SIGN.pack(sign.echo, sign.reporter, bounded, sign.answered),
+            OBSERVATION.pack(sign.echo, sign.reporter, bounded, sign.answered),
         )
     return b''.join(parts)
 
 
 def decode_signs(body: bytes, now: float) -> Observations | None:
     """Read signs by this node's clock, None for anything else."""
-    count, rest = divmod(len(body), SIGN.size)
+    count, rest = divmod(len(body), OBSERVATION.size)
     if rest or not 0 < count <= MAX_OBSERVATIONS:
         return None
     return Observations(
@@ -116,7 +116,7 @@
                 at=now - age / MILLISECONDS,
                 answered=answered,
             )
-            for echo, reporter, age, answered in SIGN.iter_unpack(body)
+            for echo, reporter, age, answered in OBSERVATION.iter_unpack(body)
         ),
     )
 
