--- a/burdocksill/readers/wire.py
+++ b/burdocksill/readers/wire.py
@@ -20,7 +20,7 @@
 ASK_KIND: Final = 1
 # 2 stays free: older nodes send another layout under it.
 UPDATE_KIND: Final = 5
-SIGNS_KIND: Final = 3
+OBSERVATIONS_KIND: Final = 3
 OFFER_KIND: Final = 4
 # Kind, token, revision.
 ASK: Final = struct.Struct('>BQQ')
@@ -73,7 +73,7 @@
         )
     if kind == UPDATE_KIND and len(payload) >= UPDATE.size:
         return decode_update(payload)
-    if kind == SIGNS_KIND:
+    if kind == OBSERVATIONS_KIND:
         return decode_signs(payload[1:], now)
     if kind == OFFER_KIND and len(payload) == OFFER.size:
         return decode_offer(payload)
@@ -93,7 +93,7 @@
 
 def encode_signs(signs: Iterable[Observation], now: float) -> bytes:
     """Write signs with their ages; clocks of two nodes differ."""
-    parts = [bytes((SIGNS_KIND,))]
+    parts = [bytes((OBSERVATIONS_KIND,))]
     for sign in signs:
         age = round((now - sign.at) * MILLISECONDS)
         bounded = min(max(age, 0), OLDEST_SIGN_MS)
