--- a/burdocksill/readers/wire.py
+++ b/burdocksill/readers/wire.py
@@ -36,7 +36,7 @@
 # What one datagram carries without being split on its way.
 MAX_OBSERVATIONS: Final = 128
 MILLISECONDS: Final = 1000
-OLDEST_SIGN_MS: Final = (1 << 16) - 1
+MAX_OBSERVATION_AGE_MS: Final = (1 << 16) - 1
 # The largest packed changes of an update. What is larger, each node reads from
 # the store by one call of its own. Networks carry such a datagram in parts, and
 # a lost one is asked for again.
@@ -96,7 +96,7 @@
     parts = [bytes((OBSERVATIONS_KIND,))]
     for sign in signs:
         age = round((now - sign.at) * MILLISECONDS)
-        bounded = min(max(age, 0), OLDEST_SIGN_MS)
+        bounded = min(max(age, 0), MAX_OBSERVATION_AGE_MS)
         parts.append(
             OBSERVATION.pack(sign.echo, sign.reporter, bounded, sign.answered),
         )
