--- a/burdocksill/readers/observations.py
+++ b/burdocksill/readers/observations.py
@@ -15,7 +15,7 @@
 from burdocksill.readers.messages import Observation, Reader
 from burdocksill.readers.protocols import Directory, ObservationSink, Sender
 from burdocksill.readers.publisher import Publisher
-from burdocksill.readers.wire import MAX_OBSERVATIONS, encode_signs
+from burdocksill.readers.wire import MAX_OBSERVATIONS, encode_observations
 
 # Signs that come together share a datagram.
 GATHER_SECONDS: Final = 0.04
@@ -109,7 +109,7 @@
         now = self.clock()
         self.sent += len(signs)
         for part in parts_of(signs[-MOST_WAITING:]):
-            self.send(encode_signs(part, now), address)
+            self.send(encode_observations(part, now), address)
 
 
 def parts_of(signs: list[Observation]) -> Iterator[list[Observation]]:
--- a/burdocksill/readers/wire.py
+++ b/burdocksill/readers/wire.py
@@ -91,7 +91,7 @@
     return Offer(revision=revision, age=age) if age >= 0 else None
 
 
-def encode_signs(signs: Iterable[Observation], now: float) -> bytes:
+def encode_observations(signs: Iterable[Observation], now: float) -> bytes:
     """Write signs with their ages; clocks of two nodes differ."""
     parts = [bytes((OBSERVATIONS_KIND,))]
     for sign in signs:
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -28,8 +28,8 @@
     decode,
     encode_ask,
     encode_changes,
+    encode_observations,
     encode_offer,
-    encode_signs,
     encode_update,
 )
 from burdocksill_lab.packets.world import PacketWorld
@@ -78,7 +78,7 @@
         (empty, decode(encode_update(empty, encode_changes(())))),
         (far, decode(encode_update(far, None))),
         (offer, decode(encode_offer(offer))),
-        (signs, decode(encode_signs(signs.signs, 0.0), 0.0)),
+        (signs, decode(encode_observations(signs.signs, 0.0), 0.0)),
     ]
 
 
