--- a/burdocksill/readers/wire.py
+++ b/burdocksill/readers/wire.py
@@ -74,7 +74,7 @@
     if kind == UPDATE_KIND and len(payload) >= UPDATE.size:
         return decode_update(payload)
     if kind == OBSERVATIONS_KIND:
-        return decode_signs(payload[1:], now)
+        return decode_observations(payload[1:], now)
     if kind == OFFER_KIND and len(payload) == OFFER.size:
         return decode_offer(payload)
     return None
@@ -103,7 +103,7 @@
     return b''.join(parts)
 
 
-def decode_signs(body: bytes, now: float) -> Observations | None:
+def decode_observations(body: bytes, now: float) -> Observations | None:
     """Read signs by this node's clock, None for anything else."""
     count, rest = divmod(len(body), OBSERVATION.size)
     if rest or not 0 < count <= MAX_OBSERVATIONS:
