--- a/burdocksill/readers/observations.py
+++ b/burdocksill/readers/observations.py
@@ -89,7 +89,7 @@
             self.waiting.extend(sign.seen_by(reporter) for sign in own)
             self.tell_nodes()
         elif own and self.reader is not None:
-            self.send_signs(own, self.reader.address)
+            self.send_observations(own, self.reader.address)
 
     def tell_nodes(self) -> None:
         """Pass signs on to the nodes that follow, but to who saw them."""
@@ -100,11 +100,13 @@
             seen_there = reporter_of(address)
             if seen_there in reporteres:
                 others = [sign for sign in signs if sign.reporter != seen_there]
-                self.send_signs(others, address)
+                self.send_observations(others, address)
             else:
-                self.send_signs(signs, address)
+                self.send_observations(signs, address)
 
-    def send_signs(self, signs: list[Observation], address: Address) -> None:
+    def send_observations(
+        self, signs: list[Observation], address: Address
+    ) -> None:
         """Send signs in as many datagrams as they need."""
         now = self.clock()
         self.sent += len(signs)
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -66,7 +66,7 @@
         """Tell what was never seen, as a node that lies does."""
         reader = self.exchange.reader
         assert reader is not None
-        self.exchange.send_signs(signs, reader.address)
+        self.exchange.send_observations(signs, reader.address)
 
 
 def share_observations(world: PacketWorld) -> list[ObservationPeer]:
