--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -99,7 +99,7 @@
             if self.sharing is not None:
                 nursery.start_soon(self.sharing.exchange.receive)
                 nursery.start_soon(self.sharing.exchange.ask)
-                nursery.start_soon(self.sharing.exchange.tell_signs)
+                nursery.start_soon(self.sharing.exchange.publish_observations)
                 nursery.start_soon(self.sharing.election_task.run)
                 nursery.start_soon(self.sharing.probe.run)
 
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -130,7 +130,7 @@
             reader, offer = found
             self.socket.send(encode_offer(offer), reader.address)
 
-    async def tell_signs(self) -> None:
+    async def publish_observations(self) -> None:
         """Tell what openings on upstreams met, as soon as there is any."""
         while True:
             await self.news.wait()
