--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -208,7 +208,7 @@
             send=socket.send,
         ),
     )
-    directory.placer.outages.on_observation = exchange.has_news
+    directory.placer.outages.on_observation = exchange.schedule_observations
     exchange.read_gate.on_answer = exchange.offer
     probe = StoreProbe(
         isolation=directory.placer.isolation,
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -138,7 +138,7 @@
             self.signs.tell()
             await trio.sleep(GATHER_SECONDS)
 
-    def has_news(self) -> None:
+    def schedule_observations(self) -> None:
         """Let what openings met be told."""
         self.news.set()
 
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -31,7 +31,7 @@
     due: bool = False
     sent_bytes: int = 0
 
-    def has_news(self) -> None:
+    def schedule_observations(self) -> None:
         """Tell it soon, together with what else comes."""
         if self.due:
             return
@@ -53,7 +53,7 @@
         if isinstance(message, Observations) and self.node.alive:
             self.exchange.take(message.signs, Address(*source))
             if self.exchange.waiting:
-                self.has_news()
+                self.schedule_observations()
 
     def send(self, payload: bytes, peer: Address) -> bool:
         """Send a datagram to another node."""
@@ -112,6 +112,6 @@
         send=send,
     )
     sender = ObservationPeer(node=node, world=world, exchange=exchange)
-    core.updater.placer.outages.on_observation = sender.has_news
+    core.updater.placer.outages.on_observation = sender.schedule_observations
     world.network.receivers[(address.host, PEER_PORT)] = sender.receive
     return sender
