--- a/burdocksill/readers/messages.py
+++ b/burdocksill/readers/messages.py
@@ -66,7 +66,7 @@
         # Tells the nodes that saw something apart; 0 for this node itself.
         self.reporter = reporter
 
-    def seen_by(self, reporter: int) -> Observation:
+    def with_reporter(self, reporter: int) -> Observation:
         """Return the same sign under another reporter."""
         return Observation(
             echo=self.echo,
--- a/burdocksill/readers/observations.py
+++ b/burdocksill/readers/observations.py
@@ -77,7 +77,7 @@
     ) -> None:
         """Learn what one node saw, and keep what is news for the others."""
         for sign in signs:
-            report = sign.seen_by(reporter)
+            report = sign.with_reporter(reporter)
             if self.known.merge(report, now):
                 self.waiting.append(report)
 
@@ -86,7 +86,7 @@
         own = self.known.pop_unsent()
         if self.is_reader:
             reporter = reporter_of(self.itself.address)
-            self.waiting.extend(sign.seen_by(reporter) for sign in own)
+            self.waiting.extend(sign.with_reporter(reporter) for sign in own)
             self.tell_nodes()
         elif own and self.reader is not None:
             self.send_observations(own, self.reader.address)
