--- a/burdocksill/packets/outages.py
+++ b/burdocksill/packets/outages.py
@@ -248,11 +248,11 @@
             self.tell(known, now, answered=True)
 
     def tell(self, known: KnownUpstream, at: float, *, answered: bool) -> None:
-        """Let other nodes hear of an own sign."""
-        sign = Observation(
+        """Let other nodes hear of an own observation."""
+        observation = Observation(
             echo=known.echo, answered=answered, at=at, reporter=OWN
         )
-        self.own.append(sign)
+        self.own.append(observation)
         self.on_observation()
 
     def pop_unsent(self) -> list[Observation]:
@@ -261,15 +261,17 @@
         self.own = []
         return own
 
-    def merge(self, sign: Observation, now: float) -> bool:
+    def merge(self, observation: Observation, now: float) -> bool:
         """Take in what another node saw; return False for no news."""
-        known = self.upstreams.by_echo.get(sign.echo)
-        if known is None or not 0 <= now - sign.at <= SIGN_SECONDS:
+        known = self.upstreams.by_echo.get(observation.echo)
+        if known is None or not 0 <= now - observation.at <= SIGN_SECONDS:
             return False
-        if not sign.answered:
-            return self.note_missed(known, sign.reporter, sign.at, now)
+        if not observation.answered:
+            return self.note_missed(
+                known, observation.reporter, observation.at, now
+            )
         domain = self.domains.setdefault(known.record.domain, DomainSigns())
-        return self.note_answered(domain, known, sign.at, now)
+        return self.note_answered(domain, known, observation.at, now)
 
     def note_missed(
         self,
--- a/burdocksill/readers/messages.py
+++ b/burdocksill/readers/messages.py
@@ -46,7 +46,7 @@
 class Observation(Value):
     """Tell whether an upstream answered, and who saw that when.
 
-    `at` is the steady time of the node that holds the sign.
+    `at` is the steady time of the node that holds the observation.
     """
 
     __slots__ = ('answered', 'at', 'echo', 'reporter')
@@ -67,7 +67,7 @@
         self.reporter = reporter
 
     def with_reporter(self, reporter: int) -> Observation:
-        """Return the same sign under another reporter."""
+        """Return the same observation under another reporter."""
         return Observation(
             echo=self.echo,
             answered=self.answered,
--- a/burdocksill/readers/observations.py
+++ b/burdocksill/readers/observations.py
@@ -66,8 +66,8 @@
             if sender in self.publisher.subscribers:
                 self.take_reports(signs, reporter_of(sender), now)
         elif self.reader is not None and sender == self.reader.address:
-            for sign in signs:
-                self.known.merge(sign, now)
+            for observation in signs:
+                self.known.merge(observation, now)
 
     def take_reports(
         self,
@@ -76,8 +76,8 @@
         now: float,
     ) -> None:
         """Learn what one node saw, and keep what is news for the others."""
-        for sign in signs:
-            report = sign.with_reporter(reporter)
+        for observation in signs:
+            report = observation.with_reporter(reporter)
             if self.known.merge(report, now):
                 self.waiting.append(report)
 
@@ -86,7 +86,9 @@
         own = self.known.pop_unsent()
         if self.is_reader:
             reporter = reporter_of(self.itself.address)
-            self.waiting.extend(sign.with_reporter(reporter) for sign in own)
+            self.waiting.extend(
+                observation.with_reporter(reporter) for observation in own
+            )
             self.tell_nodes()
         elif own and self.reader is not None:
             self.send_observations(own, self.reader.address)
@@ -95,11 +97,15 @@
         """Pass signs on to the nodes that follow, but to who saw them."""
         signs = self.waiting[-MOST_WAITING:]
         self.waiting = []
-        reporteres = {sign.reporter for sign in signs}
+        reporteres = {observation.reporter for observation in signs}
         for address in self.publisher.subscribers:
             seen_there = reporter_of(address)
             if seen_there in reporteres:
-                others = [sign for sign in signs if sign.reporter != seen_there]
+                others = [
+                    observation
+                    for observation in signs
+                    if observation.reporter != seen_there
+                ]
                 self.send_observations(others, address)
             else:
                 self.send_observations(signs, address)
--- a/burdocksill/readers/protocols.py
+++ b/burdocksill/readers/protocols.py
@@ -49,7 +49,7 @@
     def pop_unsent(self) -> list[Observation]:
         """Return the own signs that nobody was told of yet."""
 
-    def merge(self, sign: Observation, now: float) -> bool:
+    def merge(self, observation: Observation, now: float) -> bool:
         """Take in what another node saw; return False for no news."""
 
 
--- a/burdocksill/readers/wire.py
+++ b/burdocksill/readers/wire.py
@@ -94,11 +94,16 @@
 def encode_observations(signs: Iterable[Observation], now: float) -> bytes:
     """Write signs with their ages; clocks of two nodes differ."""
     parts = [bytes((OBSERVATIONS_KIND,))]
-    for sign in signs:
-        age = round((now - sign.at) * MILLISECONDS)
+    for observation in signs:
+        age = round((now - observation.at) * MILLISECONDS)
         bounded = min(max(age, 0), MAX_OBSERVATION_AGE_MS)
         parts.append(
-            OBSERVATION.pack(sign.echo, sign.reporter, bounded, sign.answered),
+            OBSERVATION.pack(
+                observation.echo,
+                observation.reporter,
+                bounded,
+                observation.answered,
+            ),
         )
     return b''.join(parts)
 
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -116,7 +116,7 @@
             assert message.revision >= message.after
         elif isinstance(message, Observations):
             assert 0 < len(message.signs) <= MAX_OBSERVATIONS
-            assert all(sign.at <= 0 for sign in message.signs)
+            assert all(observation.at <= 0 for observation in message.signs)
         elif isinstance(message, Offer):
             assert message.age >= 0
         else:
