--- a/burdocksill/readers/datagrams.py
+++ b/burdocksill/readers/datagrams.py
@@ -47,7 +47,7 @@
 class Observations:
     """Tell which upstreams answered or missed an opening, and who saw it."""
 
-    signs: tuple[Observation, ...]
+    observations: tuple[Observation, ...]
 
 
 Message = Ask | Update | Offer | Observations
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -80,7 +80,7 @@
     subscription: Subscription
     publisher: Publisher
     read_gate: SharedReadGate
-    signs: ObservationExchange
+    observations: ObservationExchange
     # Set while there is something to tell of upstreams.
     news: trio.Event = attrs.field(factory=trio.Event)
     state_logger: StateLogger = attrs.field(
@@ -91,7 +91,7 @@
         """Handle what other nodes send."""
         while True:
             for datagram in await self.socket.receive():
-                message = decode(datagram.payload, self.signs.clock())
+                message = decode(datagram.payload, self.observations.clock())
                 if message is None:
                     logger.warning(
                         'datagram unreadable',
@@ -112,8 +112,8 @@
             case Offer():
                 self.take_offer(message, sender)
             case Observations():
-                self.signs.take(message.signs, sender)
-                if self.signs.waiting:
+                self.observations.take(message.observations, sender)
+                if self.observations.waiting:
                     self.news.set()
 
     def take_offer(self, offer: Offer, sender: Address) -> None:
@@ -135,7 +135,7 @@
         while True:
             await self.news.wait()
             self.news = trio.Event()
-            self.signs.tell()
+            self.observations.tell()
             await trio.sleep(GATHER_SECONDS)
 
     def schedule_observations(self) -> None:
--- a/burdocksill/readers/observations.py
+++ b/burdocksill/readers/observations.py
@@ -19,15 +19,15 @@
 
 # Signs that come together share a datagram.
 GATHER_SECONDS: Final = 0.04
-# No node is told more at once, however many signs there are: what is left out
-# is seen again, or its flows are placed as without any signs.
+# A node is sent at most this many at once. What is left out is observed again,
+# or its flows are placed as without any observations.
 MOST_WAITING: Final = 2 * MAX_OBSERVATIONS
 # A reporter is named by 16 bits, none of which stand for the receiver itself.
 MOST_REPORTERES: Final = (1 << 16) - 1
 
 
 def reporter_of(address: Address) -> int:
-    """Return the number that tells a node's signs from those of others."""
+    """Return the number that identifies a node in its observations."""
     return zlib.crc32(str(address).encode()) % MOST_REPORTERES + 1
 
 
@@ -55,28 +55,30 @@
 
     @property
     def is_reader(self) -> bool:
-        """Return True when this node is the one that passes signs on."""
+        """Return True when this node is the one that passes observations on."""
         return self.reader is not None and self.reader.name == self.itself.name
 
-    def take(self, signs: Sequence[Observation], sender: Address) -> None:
+    def take(
+        self, observations: Sequence[Observation], sender: Address
+    ) -> None:
         """Learn from the domain's reader, or as the reader from its nodes."""
-        self.received += len(signs)
+        self.received += len(observations)
         now = self.clock()
         if self.is_reader:
             if sender in self.publisher.subscribers:
-                self.take_reports(signs, reporter_of(sender), now)
+                self.take_reports(observations, reporter_of(sender), now)
         elif self.reader is not None and sender == self.reader.address:
-            for observation in signs:
+            for observation in observations:
                 self.known.merge(observation, now)
 
     def take_reports(
         self,
-        signs: Sequence[Observation],
+        observations: Sequence[Observation],
         reporter: int,
         now: float,
     ) -> None:
         """Learn what one node saw, and keep what is news for the others."""
-        for observation in signs:
+        for observation in observations:
             report = observation.with_reporter(reporter)
             if self.known.merge(report, now):
                 self.waiting.append(report)
@@ -94,33 +96,33 @@
             self.send_observations(own, self.reader.address)
 
     def tell_nodes(self) -> None:
-        """Pass signs on to the nodes that follow, but to who saw them."""
-        signs = self.waiting[-MOST_WAITING:]
+        """Relay observations to all subscribers but their reporters."""
+        observations = self.waiting[-MOST_WAITING:]
         self.waiting = []
-        reporteres = {observation.reporter for observation in signs}
+        reporteres = {observation.reporter for observation in observations}
         for address in self.publisher.subscribers:
             seen_there = reporter_of(address)
             if seen_there in reporteres:
                 others = [
                     observation
-                    for observation in signs
+                    for observation in observations
                     if observation.reporter != seen_there
                 ]
                 self.send_observations(others, address)
             else:
-                self.send_observations(signs, address)
+                self.send_observations(observations, address)
 
     def send_observations(
-        self, signs: list[Observation], address: Address
+        self, observations: list[Observation], address: Address
     ) -> None:
-        """Send signs in as many datagrams as they need."""
+        """Send observations in as many datagrams as they need."""
         now = self.clock()
-        self.sent += len(signs)
-        for part in parts_of(signs[-MOST_WAITING:]):
+        self.sent += len(observations)
+        for part in parts_of(observations[-MOST_WAITING:]):
             self.send(encode_observations(part, now), address)
 
 
-def parts_of(signs: list[Observation]) -> Iterator[list[Observation]]:
-    """Return as many signs at a time as a datagram carries."""
-    for start in range(0, len(signs), MAX_OBSERVATIONS):
-        yield signs[start : start + MAX_OBSERVATIONS]
+def parts_of(observations: list[Observation]) -> Iterator[list[Observation]]:
+    """Return as many observations at a time as a datagram carries."""
+    for start in range(0, len(observations), MAX_OBSERVATIONS):
+        yield observations[start : start + MAX_OBSERVATIONS]
--- a/burdocksill/readers/protocols.py
+++ b/burdocksill/readers/protocols.py
@@ -47,7 +47,7 @@
     """Hold what openings on upstreams met."""
 
     def pop_unsent(self) -> list[Observation]:
-        """Return the own signs that nobody was told of yet."""
+        """Return the own observations that nobody was told of yet."""
 
     def merge(self, observation: Observation, now: float) -> bool:
         """Take in what another node saw; return False for no news."""
--- a/burdocksill/readers/wire.py
+++ b/burdocksill/readers/wire.py
@@ -91,10 +91,12 @@
     return Offer(revision=revision, age=age) if age >= 0 else None
 
 
-def encode_observations(signs: Iterable[Observation], now: float) -> bytes:
-    """Write signs with their ages; clocks of two nodes differ."""
+def encode_observations(
+    observations: Iterable[Observation], now: float
+) -> bytes:
+    """Write observations with their ages; clocks of two nodes differ."""
     parts = [bytes((OBSERVATIONS_KIND,))]
-    for observation in signs:
+    for observation in observations:
         age = round((now - observation.at) * MILLISECONDS)
         bounded = min(max(age, 0), MAX_OBSERVATION_AGE_MS)
         parts.append(
@@ -109,12 +111,12 @@
 
 
 def decode_observations(body: bytes, now: float) -> Observations | None:
-    """Read signs by this node's clock, None for anything else."""
+    """Read observations by this node's clock, None for anything else."""
     count, rest = divmod(len(body), OBSERVATION.size)
     if rest or not 0 < count <= MAX_OBSERVATIONS:
         return None
     return Observations(
-        signs=tuple(
+        observations=tuple(
             Observation(
                 echo=echo,
                 reporter=reporter,
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -22,7 +22,7 @@
 
 @attrs.define(kw_only=True)
 class ObservationPeer:
-    """Run the product's exchange of signs on one node."""
+    """Run the product's exchange of observations on one node."""
 
     node: LabNode
     world: PacketWorld
@@ -51,7 +51,7 @@
         """Take what another node tells."""
         message = decode(payload, self.world.timeline.now)
         if isinstance(message, Observations) and self.node.alive:
-            self.exchange.take(message.signs, Address(*source))
+            self.exchange.take(message.observations, Address(*source))
             if self.exchange.waiting:
                 self.schedule_observations()
 
@@ -62,11 +62,11 @@
         self.world.network.send(payload, source, (peer.host, peer.port))
         return True
 
-    def claim(self, signs: list[Observation]) -> None:
+    def claim(self, observations: list[Observation]) -> None:
         """Tell what was never seen, as a node that lies does."""
         reader = self.exchange.reader
         assert reader is not None
-        self.exchange.send_observations(signs, reader.address)
+        self.exchange.send_observations(observations, reader.address)
 
 
 def share_observations(world: PacketWorld) -> list[ObservationPeer]:
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -56,8 +56,8 @@
     )
     empty = Update(token=1, after=5, revision=5, age=0, stable=1.0)
     offer = Offer(revision=2**64 - 1, age=0.5)
-    signs = Observations(
-        signs=(
+    observations = Observations(
+        observations=(
             Observation(
                 echo=2**32 - 1, answered=True, at=-0.25, reporter=2**16 - 1
             ),
@@ -78,7 +78,10 @@
         (empty, decode(encode_update(empty, encode_changes(())))),
         (far, decode(encode_update(far, None))),
         (offer, decode(encode_offer(offer))),
-        (signs, decode(encode_observations(signs.signs, 0.0), 0.0)),
+        (
+            observations,
+            decode(encode_observations(observations.observations, 0.0), 0.0),
+        ),
     ]
 
 
@@ -115,8 +118,10 @@
             assert message.age >= 0
             assert message.revision >= message.after
         elif isinstance(message, Observations):
-            assert 0 < len(message.signs) <= MAX_OBSERVATIONS
-            assert all(observation.at <= 0 for observation in message.signs)
+            assert 0 < len(message.observations) <= MAX_OBSERVATIONS
+            assert all(
+                observation.at <= 0 for observation in message.observations
+            )
         elif isinstance(message, Offer):
             assert message.age >= 0
         else:
