--- a/burdocksill/packets/metrics.py
+++ b/burdocksill/packets/metrics.py
@@ -50,7 +50,7 @@
 
     def count_signs(self) -> None:
         """Count what nodes tell each other of upstreams."""
-        for direction, count in self.store_sync.signs.items():
+        for direction, count in self.store_sync.observations.items():
             more = self.since_shown('signs', direction, count)
             self.counters.add('signs', more, direction=direction)
 
--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -85,12 +85,12 @@
         return sum(platform.truncated for platform in self.platforms)
 
     @property
-    def signs(self) -> dict[str, int]:
+    def observations(self) -> dict[str, int]:
         """Count what this node told others of upstreams, and was told."""
         if self.sharing is None:
             return {}
-        signs = self.sharing.exchange.signs
-        return {'sent': signs.sent, 'received': signs.received}
+        observations = self.sharing.exchange.observations
+        return {'sent': observations.sent, 'received': observations.received}
 
     async def run(self) -> None:
         """Follow the store and the readers until cancelled."""
@@ -198,7 +198,7 @@
         subscription=subscription,
         publisher=publisher,
         read_gate=SharedReadGate(subscription=subscription),
-        signs=ObservationExchange(
+        observations=ObservationExchange(
             itself=itself,
             domain=settings.domain,
             directory=directory,
--- a/tests/steps/packets_admission.py
+++ b/tests/steps/packets_admission.py
@@ -242,7 +242,7 @@
                 is_reader=False,
                 received_bytes=0,
                 truncated=0,
-                signs={},
+                observations={},
             ),
         ).render(world.timeline.now)
         for node in world.nodes
