--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -135,7 +135,7 @@
         while True:
             await self.news.wait()
             self.news = trio.Event()
-            self.observations.tell()
+            self.observations.flush()
             await trio.sleep(GATHER_SECONDS)
 
     def schedule_observations(self) -> None:
--- a/burdocksill/readers/observations.py
+++ b/burdocksill/readers/observations.py
@@ -83,7 +83,7 @@
             if self.known.merge(report, now):
                 self.waiting.append(report)
 
-    def tell(self) -> None:
+    def flush(self) -> None:
         """Send all that is news to whom it is for."""
         own = self.known.pop_unsent()
         if self.is_reader:
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -45,7 +45,7 @@
         self.due = False
         self.told_at = self.world.timeline.now
         if self.node.alive:
-            self.exchange.tell()
+            self.exchange.flush()
 
     def receive(self, payload: bytes, source: Place) -> None:
         """Take what another node tells."""
