--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -113,7 +113,7 @@
                 self.take_offer(message, sender)
             case Observations():
                 self.observations.take(message.observations, sender)
-                if self.observations.waiting:
+                if self.observations.pending:
                     self.news.set()
 
     def take_offer(self, offer: Offer, sender: Address) -> None:
--- a/burdocksill/readers/observations.py
+++ b/burdocksill/readers/observations.py
@@ -43,7 +43,7 @@
     clock: Clock
     send: Sender
     # What the reader has heard and not passed on yet.
-    waiting: list[Observation] = attrs.field(factory=list)
+    pending: list[Observation] = attrs.field(factory=list)
     sent: int = 0
     received: int = 0
 
@@ -81,14 +81,14 @@
         for observation in observations:
             report = observation.with_reporter(reporter)
             if self.known.merge(report, now):
-                self.waiting.append(report)
+                self.pending.append(report)
 
     def flush(self) -> None:
         """Send all that is news to whom it is for."""
         own = self.known.pop_unsent()
         if self.is_reader:
             reporter = reporter_of(self.itself.address)
-            self.waiting.extend(
+            self.pending.extend(
                 observation.with_reporter(reporter) for observation in own
             )
             self.tell_nodes()
@@ -97,8 +97,8 @@
 
     def tell_nodes(self) -> None:
         """Relay observations to all subscribers but their reporters."""
-        observations = self.waiting[-MOST_WAITING:]
-        self.waiting = []
+        observations = self.pending[-MOST_WAITING:]
+        self.pending = []
         reporteres = {observation.reporter for observation in observations}
         for address in self.publisher.subscribers:
             seen_there = reporter_of(address)
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -52,7 +52,7 @@
         message = decode(payload, self.world.timeline.now)
         if isinstance(message, Observations) and self.node.alive:
             self.exchange.take(message.observations, Address(*source))
-            if self.exchange.waiting:
+            if self.exchange.pending:
                 self.schedule_observations()
 
     def send(self, payload: bytes, peer: Address) -> bool:
