--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -202,7 +202,7 @@
             itself=itself,
             domain=settings.domain,
             directory=directory,
-            known=directory.placer.outages,
+            sink=directory.placer.outages,
             publisher=publisher,
             clock=runtime.clock,
             send=socket.send,
--- a/burdocksill/readers/observations.py
+++ b/burdocksill/readers/observations.py
@@ -38,7 +38,7 @@
     itself: Reader
     domain: str
     directory: Directory
-    known: ObservationSink
+    sink: ObservationSink
     publisher: Publisher
     clock: Clock
     send: Sender
@@ -69,7 +69,7 @@
                 self.take_reports(observations, reporter_of(sender), now)
         elif self.reader is not None and sender == self.reader.address:
             for observation in observations:
-                self.known.merge(observation, now)
+                self.sink.merge(observation, now)
 
     def take_reports(
         self,
@@ -80,12 +80,12 @@
         """Learn what one node saw, and keep what is news for the others."""
         for observation in observations:
             report = observation.with_reporter(reporter)
-            if self.known.merge(report, now):
+            if self.sink.merge(report, now):
                 self.pending.append(report)
 
     def flush(self) -> None:
         """Send all that is news to whom it is for."""
-        own = self.known.pop_unsent()
+        own = self.sink.pop_unsent()
         if self.is_reader:
             reporter = reporter_of(self.itself.address)
             self.pending.extend(
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -101,7 +101,7 @@
         itself=Reader(name=node.name, address=address),
         domain=node.domain,
         directory=core.updater,
-        known=core.updater.placer.outages,
+        sink=core.updater.placer.outages,
         publisher=Publisher(
             store_cache=core.store_cache,
             log=ChangeLog(),
