--- a/burdocksill/packets/watcher.py
+++ b/burdocksill/packets/watcher.py
@@ -26,7 +26,7 @@
 # After a change the next call waits this long, so that changes that come
 # together cost one call. What can't wait, an upstream that died, is seen in
 # clients' packets first.
-GATHER_SECONDS: Final = 0.5
+BATCH_SECONDS: Final = 0.5
 # Changes are waited for until the knowledge would be this old. Other nodes
 # that rely on this one call the store themselves a little later.
 KNOWN_WITHIN_SECONDS: Final = 1.5
@@ -148,7 +148,7 @@
         )
         self.read_gate.called(answered=True)
         if found.values:
-            await trio.sleep(GATHER_SECONDS)
+            await trio.sleep(BATCH_SECONDS)
 
     async def changes(self) -> Snapshot:
         """Wait for changes and learn them; a silent call is made once more.
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -25,7 +25,7 @@
     ReaderElection,
 )
 from burdocksill.readers.messages import ReaderEntry
-from burdocksill.readers.observations import GATHER_SECONDS, ObservationExchange
+from burdocksill.readers.observations import BATCH_SECONDS, ObservationExchange
 from burdocksill.readers.protocols import LeaseStore
 from burdocksill.readers.publisher import Publisher
 from burdocksill.readers.subscription import Subscription
@@ -136,7 +136,7 @@
             await self.news.wait()
             self.news = trio.Event()
             self.observations.flush()
-            await trio.sleep(GATHER_SECONDS)
+            await trio.sleep(BATCH_SECONDS)
 
     def schedule_observations(self) -> None:
         """Let what openings met be told."""
--- a/burdocksill/readers/observations.py
+++ b/burdocksill/readers/observations.py
@@ -18,7 +18,7 @@
 from burdocksill.readers.wire import MAX_OBSERVATIONS, encode_observations
 
 # Signs that come together share a datagram.
-GATHER_SECONDS: Final = 0.04
+BATCH_SECONDS: Final = 0.04
 # A node is sent at most this many at once. What is left out is observed again,
 # or its flows are placed as without any observations.
 MOST_WAITING: Final = 2 * MAX_OBSERVATIONS
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -10,7 +10,7 @@
 from burdocksill.readers.changes import ChangeLog
 from burdocksill.readers.datagrams import Observations
 from burdocksill.readers.messages import Observation, Reader
-from burdocksill.readers.observations import GATHER_SECONDS, ObservationExchange
+from burdocksill.readers.observations import BATCH_SECONDS, ObservationExchange
 from burdocksill.readers.publisher import Publisher, Subscriber
 from burdocksill.readers.wire import decode
 from burdocksill_lab.packets.network import Address as Place
@@ -37,7 +37,7 @@
             return
         self.due = True
         now = self.world.timeline.now
-        wait = max(0, self.told_at + GATHER_SECONDS - now)
+        wait = max(0, self.told_at + BATCH_SECONDS - now)
         self.world.timeline.after(wait, self.tell)
 
     def tell(self) -> None:
