--- a/burdocksill/readers/datagrams.py
+++ b/burdocksill/readers/datagrams.py
@@ -7,7 +7,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Ask:
+class UpdateRequest:
     """Ask a node for what has changed since a revision."""
 
     # Drawn anew for each ask; every answer to it repeats it.
@@ -50,4 +50,4 @@
     observations: tuple[Observation, ...]
 
 
-Message = Ask | Update | Offer | Observations
+Message = UpdateRequest | Update | Offer | Observations
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -13,11 +13,11 @@
 from burdocksill.observe.lines import StateLogger
 from burdocksill.platform.values import StoredValue
 from burdocksill.readers.datagrams import (
-    Ask,
     Message,
     Observations,
     Offer,
     Update,
+    UpdateRequest,
 )
 from burdocksill.readers.election import (
     KEEP_SECONDS,
@@ -103,7 +103,7 @@
     def take(self, message: Message, sender: Address) -> None:
         """Handle a message of another node."""
         match message:
-            case Ask():
+            case UpdateRequest():
                 self.publisher.answer(message, sender)
             case Update():
                 self.subscription.take(message, sender)
--- a/burdocksill/readers/publisher.py
+++ b/burdocksill/readers/publisher.py
@@ -9,7 +9,7 @@
 from burdocksill.network.clock import Clock
 from burdocksill.platform.values import Snapshot, StoredValue
 from burdocksill.readers.changes import ChangeLog
-from burdocksill.readers.datagrams import Ask, Update
+from burdocksill.readers.datagrams import Update, UpdateRequest
 from burdocksill.readers.protocols import Sender, StoreCache
 from burdocksill.readers.wire import encode_changes, encode_update
 
@@ -41,7 +41,7 @@
     send: Sender
     subscribers: dict[Address, Subscriber] = attrs.field(factory=dict)
 
-    def answer(self, ask: Ask, sender: Address) -> None:
+    def answer(self, ask: UpdateRequest, sender: Address) -> None:
         """Tell a node what it lacks, and go on telling it for a while."""
         now = self.clock()
         if len(self.subscribers) >= MOST_SUBSCRIBERS:
--- a/burdocksill/readers/subscription.py
+++ b/burdocksill/readers/subscription.py
@@ -10,7 +10,7 @@
 from burdocksill.network.addresses import Address
 from burdocksill.network.clock import Clock
 from burdocksill.platform.values import Snapshot
-from burdocksill.readers.datagrams import Ask, Offer, Update
+from burdocksill.readers.datagrams import Offer, Update, UpdateRequest
 from burdocksill.readers.messages import Reader
 from burdocksill.readers.protocols import Directory, StoreCache
 
@@ -146,17 +146,17 @@
             return max(0, gap - since)
         return max(0, min(ASK_AGE_SECONDS - age, RENEW_SECONDS - since))
 
-    def next_ask(self) -> tuple[Reader, Ask] | None:
+    def next_ask(self) -> tuple[Reader, UpdateRequest] | None:
         """Return whom to ask what now, None if nobody can be asked."""
         reader = self.choose()
         if reader is None or not self.store_cache.revision:
             return None
         return reader, self.ask_of(reader.address)
 
-    def ask_of(self, address: Address) -> Ask:
+    def ask_of(self, address: Address) -> UpdateRequest:
         """Return an ask that a node may answer."""
         now = self.clock()
-        ask = Ask(
+        ask = UpdateRequest(
             token=self.rng.getrandbits(TOKEN_BITS),
             revision=self.store_cache.revision,
         )
--- a/burdocksill/readers/wire.py
+++ b/burdocksill/readers/wire.py
@@ -9,11 +9,11 @@
 
 from burdocksill.platform.values import StoredValue
 from burdocksill.readers.datagrams import (
-    Ask,
     Message,
     Observations,
     Offer,
     Update,
+    UpdateRequest,
 )
 from burdocksill.readers.messages import Observation
 
@@ -59,7 +59,7 @@
     whole: bool
 
 
-def encode_ask(ask: Ask) -> bytes:
+def encode_ask(ask: UpdateRequest) -> bytes:
     """Write an ask."""
     return ASK.pack(ASK_KIND, ask.token, ask.revision)
 
@@ -68,7 +68,7 @@
     """Read a datagram, None for anything that no node would send."""
     kind = payload[0] if payload else 0
     if kind == ASK_KIND and len(payload) == ASK.size:
-        return Ask(
+        return UpdateRequest(
             token=ASK.unpack(payload)[1], revision=ASK.unpack(payload)[2]
         )
     if kind == UPDATE_KIND and len(payload) >= UPDATE.size:
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -17,7 +17,12 @@
 from burdocksill.platform.values import Snapshot, StoredValue
 from burdocksill.readers import changes
 from burdocksill.readers.changes import ChangeLog
-from burdocksill.readers.datagrams import Ask, Observations, Offer, Update
+from burdocksill.readers.datagrams import (
+    Observations,
+    Offer,
+    Update,
+    UpdateRequest,
+)
 from burdocksill.readers.election import ReaderElection
 from burdocksill.readers.messages import Observation, Reader, ReaderEntry
 from burdocksill.readers.subscription import Subscription
@@ -45,7 +50,7 @@
         StoredValue(key='op/x', value=b'', revision=8, removed=True),
         StoredValue(key='', value=bytes(3000), revision=2**63),
     )
-    ask = Ask(token=2**64 - 1, revision=5)
+    ask = UpdateRequest(token=2**64 - 1, revision=5)
     update = Update(
         token=1,
         after=5,
@@ -125,7 +130,7 @@
         elif isinstance(message, Offer):
             assert message.age >= 0
         else:
-            assert message is None or isinstance(message, Ask)
+            assert message is None or isinstance(message, UpdateRequest)
 
 
 @then('a datagram that would unpack to 64 MB is refused')
--- a/tools/reader_cost.py
+++ b/tools/reader_cost.py
@@ -10,7 +10,7 @@
 from burdocksill.network.addresses import Address
 from burdocksill.network.sockets import SocketNetwork
 from burdocksill.readers.changes import ChangeLog
-from burdocksill.readers.datagrams import Ask
+from burdocksill.readers.datagrams import UpdateRequest
 from burdocksill.readers.exchange import PeerExchange
 from burdocksill.readers.publisher import Publisher
 from burdocksill.readers.subscription import Subscription
@@ -27,7 +27,9 @@
     """Answer asks one by one; return the processor time with and without."""
     plain = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     payload = encode_ask(
-        Ask(token=1, revision=exchange.publisher.store_cache.revision),
+        UpdateRequest(
+            token=1, revision=exchange.publisher.store_cache.revision
+        ),
     )
     with plain:
         idle = await spend(plain, payload, None)
