--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -29,7 +29,7 @@
 from burdocksill.readers.protocols import LeaseStore
 from burdocksill.readers.publisher import Publisher
 from burdocksill.readers.subscription import Subscription
-from burdocksill.readers.wire import decode, encode_ask, encode_offer
+from burdocksill.readers.wire import decode, encode_offer, encode_update_request
 
 # How often a node looks whether its domain lacks a reader.
 LOOK_SECONDS: Final = 0.5
@@ -121,7 +121,7 @@
         if self.subscription.wants(offer):
             self.state_logger.log_change('follower asked', follower=str(sender))
             ask = self.subscription.ask_of(sender)
-            self.socket.send(encode_ask(ask), sender)
+            self.socket.send(encode_update_request(ask), sender)
 
     def offer(self) -> None:
         """Tell the own reader what the store has just told this node."""
@@ -157,7 +157,7 @@
             return False
         reader, ask = asked
         self.state_logger.log_change('reader asked', reader=reader.name)
-        self.socket.send(encode_ask(ask), reader.address)
+        self.socket.send(encode_update_request(ask), reader.address)
         return True
 
 
--- a/burdocksill/readers/wire.py
+++ b/burdocksill/readers/wire.py
@@ -59,7 +59,7 @@
     whole: bool
 
 
-def encode_ask(ask: UpdateRequest) -> bytes:
+def encode_update_request(ask: UpdateRequest) -> bytes:
     """Write an ask."""
     return ASK.pack(ASK_KIND, ask.token, ask.revision)
 
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -31,11 +31,11 @@
     UPDATE,
     UPDATE_KIND,
     decode,
-    encode_ask,
     encode_changes,
     encode_observations,
     encode_offer,
     encode_update,
+    encode_update_request,
 )
 from burdocksill_lab.packets.world import PacketWorld
 
@@ -78,7 +78,7 @@
         changes=None,
     )
     context.pairs = [
-        (ask, decode(encode_ask(ask))),
+        (ask, decode(encode_update_request(ask))),
         (update, decode(encode_update(update, encode_changes(changes)))),
         (empty, decode(encode_update(empty, encode_changes(())))),
         (far, decode(encode_update(far, None))),
--- a/tools/reader_cost.py
+++ b/tools/reader_cost.py
@@ -14,7 +14,7 @@
 from burdocksill.readers.exchange import PeerExchange
 from burdocksill.readers.publisher import Publisher
 from burdocksill.readers.subscription import Subscription
-from burdocksill.readers.wire import encode_ask
+from burdocksill.readers.wire import encode_update_request
 from burdocksill_lab.packets.world import ROUTE_PORT, PacketWorld
 
 ASKS: Final = 2_000
@@ -26,7 +26,7 @@
 async def serve(exchange: PeerExchange, reader: Address) -> tuple[float, float]:
     """Answer asks one by one; return the processor time with and without."""
     plain = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    payload = encode_ask(
+    payload = encode_update_request(
         UpdateRequest(
             token=1, revision=exchange.publisher.store_cache.revision
         ),
