--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -98,7 +98,7 @@
             nursery.start_soon(self.follower.run)
             if self.sharing is not None:
                 nursery.start_soon(self.sharing.exchange.receive)
-                nursery.start_soon(self.sharing.exchange.ask)
+                nursery.start_soon(self.sharing.exchange.request_updates)
                 nursery.start_soon(self.sharing.exchange.publish_observations)
                 nursery.start_soon(self.sharing.election_task.run)
                 nursery.start_soon(self.sharing.probe.run)
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -142,7 +142,7 @@
         """Let what openings met be told."""
         self.news.set()
 
-    async def ask(self) -> None:
+    async def request_updates(self) -> None:
         """Ask readers in time."""
         while True:
             pause = self.subscription.asks_in()
