--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -209,7 +209,7 @@
         ),
     )
     directory.placer.outages.on_observation = exchange.schedule_observations
-    exchange.read_gate.on_answer = exchange.offer
+    exchange.read_gate.on_answer = exchange.notify_reader
     probe = StoreProbe(
         isolation=directory.placer.isolation,
         platform=make_platform(settings, runtime),
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -123,7 +123,7 @@
             ask = self.subscription.ask_of(sender)
             self.socket.send(encode_update_request(ask), sender)
 
-    def offer(self) -> None:
+    def notify_reader(self) -> None:
         """Tell the own reader what the store has just told this node."""
         found = self.subscription.offer()
         if found is not None:
