--- a/burdocksill/readers/publisher.py
+++ b/burdocksill/readers/publisher.py
@@ -28,7 +28,7 @@
 
     token: int
     revision: int
-    until: float
+    expires_at: float
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
@@ -49,7 +49,7 @@
         subscriber = Subscriber(
             token=ask.token,
             revision=ask.revision,
-            until=now + SUBSCRIBED_SECONDS,
+            expires_at=now + SUBSCRIBED_SECONDS,
         )
         self.tell(sender, subscriber, self.pack(ask.revision))
         if len(self.subscribers) < MOST_SUBSCRIBERS:
@@ -73,7 +73,7 @@
         ended = [
             address
             for address, subscriber in self.subscribers.items()
-            if subscriber.until < now
+            if subscriber.expires_at < now
         ]
         for address in ended:
             del self.subscribers[address]
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -84,7 +84,7 @@
         readers[domain].exchange.publisher.subscribers[address] = Subscriber(
             token=1,
             revision=1,
-            until=FOREVER,
+            expires_at=FOREVER,
         )
     return peers
 
