--- a/burdocksill/readers/election.py
+++ b/burdocksill/readers/election.py
@@ -42,7 +42,7 @@
 class ReaderElection:
     """Keep whether this node reads for its domain, and when to try to."""
 
-    itself: Reader
+    local_node: Reader
     domain: str
     # Processor of this machine, in cores.
     cores: float
@@ -79,7 +79,7 @@
         if self.holds_lease or self.clock() < self.retry_at:
             return False
         reader = self.entry.reader
-        if reader is not None and reader.name == self.itself.name:
+        if reader is not None and reader.name == self.local_node.name:
             return True
         if reader is not None:
             self.offer_at = 0
@@ -117,7 +117,7 @@
         One of a revision that is known already is there no more.
         """
         other = entry.reader
-        if other is None or other.name == self.itself.name:
+        if other is None or other.name == self.local_node.name:
             return False
         if entry.revision <= known_revision:
             return False
--- a/burdocksill/readers/observations.py
+++ b/burdocksill/readers/observations.py
@@ -35,7 +35,7 @@
 class ObservationExchange:
     """Tell the domain's reader what this node saw, or all that it told."""
 
-    itself: Reader
+    local_node: Reader
     domain: str
     directory: Directory
     sink: ObservationSink
@@ -56,7 +56,9 @@
     @property
     def is_reader(self) -> bool:
         """Return True when this node is the one that passes observations on."""
-        return self.reader is not None and self.reader.name == self.itself.name
+        return (
+            self.reader is not None and self.reader.name == self.local_node.name
+        )
 
     def take(
         self, observations: Sequence[Observation], sender: Address
@@ -87,7 +89,7 @@
         """Send all that is news to whom it is for."""
         own = self.sink.pop_unsent()
         if self.is_reader:
-            reporter = reporter_of(self.itself.address)
+            reporter = reporter_of(self.local_node.address)
             self.pending.extend(
                 observation.with_reporter(reporter) for observation in own
             )
