--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -184,9 +184,9 @@
     store_cache.listeners.append(publisher.publish)
     # A waiting call holds its connection, so leases have one of their own.
     platform = make_platform(settings, runtime)
-    itself = Reader(name=settings.name, address=peer)
+    local_node = Reader(name=settings.name, address=peer)
     election = ReaderElection(
-        itself=itself,
+        local_node=local_node,
         domain=settings.domain,
         cores=settings.cores,
         directory=directory,
@@ -199,7 +199,7 @@
         publisher=publisher,
         read_gate=SharedReadGate(subscription=subscription),
         observations=ObservationExchange(
-            itself=itself,
+            local_node=local_node,
             domain=settings.domain,
             directory=directory,
             sink=directory.placer.outages,
@@ -222,7 +222,7 @@
         election_task=ElectionTask(
             election=election,
             key=READERS + settings.domain,
-            value=write_reader(itself),
+            value=write_reader(local_node),
             read_entry=partial(read_reader, settings.domain),
             store=platform,
             subscription=subscription,
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -57,7 +57,7 @@
 
     def send(self, payload: bytes, peer: Address) -> bool:
         """Send a datagram to another node."""
-        source = (self.exchange.itself.address.host, PEER_PORT)
+        source = (self.exchange.local_node.address.host, PEER_PORT)
         self.sent_bytes += len(payload)
         self.world.network.send(payload, source, (peer.host, peer.port))
         return True
@@ -77,10 +77,10 @@
         domain = peer.node.domain
         if domain not in readers:
             readers[domain] = peer
-            value = write_reader(peer.exchange.itself)
+            value = write_reader(peer.exchange.local_node)
             world.put(READERS + domain, value)
             continue
-        address = peer.exchange.itself.address
+        address = peer.exchange.local_node.address
         readers[domain].exchange.publisher.subscribers[address] = Subscriber(
             token=1,
             revision=1,
@@ -98,7 +98,7 @@
         return sender.send(payload, peer)
 
     exchange = ObservationExchange(
-        itself=Reader(name=node.name, address=address),
+        local_node=Reader(name=node.name, address=address),
         domain=node.domain,
         directory=core.updater,
         sink=core.updater.placer.outages,
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -277,7 +277,7 @@
     """Prepare a node that may offer itself."""
     context.now = 50.0
     return ReaderElection(
-        itself=Reader(name='entry-1', address=Address('10.1.0.1', 7720)),
+        local_node=Reader(name='entry-1', address=Address('10.1.0.1', 7720)),
         domain='a',
         cores=cores,
         directory=KnownReaders(reader=None),
@@ -347,7 +347,9 @@
 def make_returned(context: Context) -> None:
     """Prepare a node whose entry of before still stands."""
     context.election = make_claim(context, 1, context.seed)
-    context.election.directory = KnownReaders(reader=context.election.itself)
+    context.election.directory = KnownReaders(
+        reader=context.election.local_node
+    )
 
 
 @when('its offers fail for {seconds:d} seconds')
