--- a/burdocksill/documents/watchers.py
+++ b/burdocksill/documents/watchers.py
@@ -19,7 +19,7 @@
 
     def __call__(self) -> bool:
         """Return True when this VM is among the watchers of its domain."""
-        own = self.members.itself
+        own = self.members.local_member
         live = self.members.live(own.domain)
         watchers = ranked(live, f'watch/{own.domain}')[:WATCHERS_PER_DOMAIN]
         return own in watchers
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -85,7 +85,7 @@
     )
     tracing: Tracing = attrs.Factory(
         lambda router: Tracing(
-            node=router.members.itself.name,
+            node=router.members.local_member.name,
             ratio=router.trace_ratio,
         ),
         takes_self=True,
@@ -131,7 +131,7 @@
         envelope = Envelope(
             request=request,
             caller=datagram.peer,
-            hops=(self.members.itself.name,),
+            hops=(self.members.local_member.name,),
             raw=datagram.payload,
         )
         with self.tracing.first_hop('entry'):
@@ -151,7 +151,7 @@
         envelope = Envelope(
             request=request,
             caller=Address(message.caller_host, message.caller_port),
-            hops=(*message.hops, self.members.itself.name),
+            hops=(*message.hops, self.members.local_member.name),
             raw=message.raw,
             refused=message.refused,
         )
@@ -209,7 +209,7 @@
             placement.upstream.name,
             placement.owner,
         )
-        if placement.owner.tag == self.members.itself.tag:
+        if placement.owner.tag == self.members.local_member.tag:
             self.enter(envelope, placement.upstream.name)
             return
         self.relay(
@@ -254,7 +254,7 @@
         keeps = visits and asks_later_block(envelope.request)
         holds = held is not None and held.epochs.find(cookie.epoch) is not None
         if held is not None and holds and not keeps:
-            self.decisions.followed(envelope, cookie, self.members.itself)
+            self.decisions.followed(envelope, cookie, self.members.local_member)
             self.spawn(envelope, held.serve, envelope, cookie)
             return
         if self.exits.left(service, cookie):
@@ -284,7 +284,7 @@
         document = self.store.services[envelope.request.service]
         upstream = document.tagged(cookie.upstream_tag)
         owner = self.placer.owner(document.service, upstream)
-        if owner is not None and owner.tag == self.members.itself.tag:
+        if owner is not None and owner.tag == self.members.local_member.tag:
             owned = self.owners.find(document.service, cookie.upstream_tag)
             if owned is not None:
                 self.decisions.followed(envelope, cookie, owner)
--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -84,7 +84,7 @@
         found = self.candidates(document, exclude)
         if math.isfinite(max_load):
             found = [one for one in found if one.roomy and one.load < max_load]
-        home = self.members.itself.domain
+        home = self.members.local_member.domain
         local = self.choose(
             [one for one in found if one.placement.upstream.domain == home],
         )
@@ -170,7 +170,7 @@
             if upstream.name not in exclude
             and may_get_flows(self.store, upstream)
         ]
-        home = self.members.itself.domain
+        home = self.members.local_member.domain
         local = [upstream for upstream in usable if upstream.domain == home]
         for group in (local, usable):
             shuffled = self.rng.sample(group, len(group))
--- a/burdocksill/membership/beliefs.py
+++ b/burdocksill/membership/beliefs.py
@@ -39,12 +39,12 @@
         """Tell of this VM first."""
         self.rumours = RumourQueue(table=self.table)
         self.contacts = DomainContacts(table=self.table)
-        self.rumours.add(self.itself.tag, introduce=True)
+        self.rumours.add(self.local_member.tag, introduce=True)
 
     @property
-    def itself(self) -> Member:
+    def local_member(self) -> Member:
         """Return this VM."""
-        return self.table.itself
+        return self.table.local_member
 
     def take_list(self, records: tuple[VmRecord, ...]) -> None:
         """Believe the list only on members that nobody has told of.
@@ -84,7 +84,7 @@
 
     def patience(self) -> float:
         """Return how long a member stays suspect before it counts as dead."""
-        members = len(self.table.live(self.itself.domain))
+        members = len(self.table.live(self.local_member.domain))
         doublings = math.log2(members + 1)
         return SUSPICION_SECONDS + SUSPICION_STEP_SECONDS * doublings
 
@@ -98,7 +98,7 @@
             self.table.put(
                 attrs.evolve(held.member, state=MemberState.ALIVE),
             )
-        elif held.member.domain == self.itself.domain:
+        elif held.member.domain == self.local_member.domain:
             self.bury(held)
 
     def bury(self, held: KnownMember) -> None:
@@ -127,7 +127,7 @@
 
     def take_member(self, member: Member) -> None:
         """Merge an introduction."""
-        if member.tag == self.itself.tag:
+        if member.tag == self.local_member.tag:
             self.refute(member)
         else:
             self.merge(member)
@@ -144,7 +144,7 @@
             incarnation=rumour.incarnation,
             state=rumour.state,
         )
-        if rumour.tag == self.itself.tag:
+        if rumour.tag == self.local_member.tag:
             self.refute(offered)
             return
         just_heard = now - held.heard_at < self.patience()
@@ -155,7 +155,7 @@
 
     def refute(self, believed: Member) -> None:
         """Start a new incarnation when others doubt us."""
-        own = self.itself
+        own = self.local_member
         doubted = believed.state not in {MemberState.ALIVE, own.state}
         if believed.incarnation > own.incarnation or (
             doubted and believed.incarnation == own.incarnation
@@ -165,7 +165,9 @@
 
     def announce(self, state: MemberState, incarnation: int) -> None:
         """Tell a state of our own under a new incarnation."""
-        own = attrs.evolve(self.itself, state=state, incarnation=incarnation)
+        own = attrs.evolve(
+            self.local_member, state=state, incarnation=incarnation
+        )
         self.table.put(own)
         self.rumours.add(own.tag)
 
--- a/burdocksill/membership/contacts.py
+++ b/burdocksill/membership/contacts.py
@@ -42,12 +42,12 @@
 
     def is_contact(self) -> bool:
         """Return True when this VM talks for its domain."""
-        own = self.table.itself
+        own = self.table.local_member
         return own in self.contacts(own.domain)
 
     def others(self) -> list[str]:
         """Return the other domains."""
-        own = self.table.itself.domain
+        own = self.table.local_member.domain
         return [name for name in sorted(self.heard_at) if name != own]
 
     def next_domain(self) -> str | None:
@@ -70,7 +70,7 @@
     def cut_off(self, domain: str, now: float) -> bool:
         """Return True after a domain's silence."""
         heard = self.heard_at.get(domain)
-        if heard is None or domain == self.table.itself.domain:
+        if heard is None or domain == self.table.local_member.domain:
             return False
         allowed = SILENCE_SECONDS + SILENCE_STEP_SECONDS * len(self.heard_at)
         return now - heard > allowed
--- a/burdocksill/membership/heartbeats.py
+++ b/burdocksill/membership/heartbeats.py
@@ -49,14 +49,14 @@
         """Introduce this VM where it is unknown, others where there is news."""
         held = self.beliefs.table.find(about[0]) if about else None
         if held is None or math.isinf(held.heard_at):
-            return [record_of(self.beliefs.itself)]
+            return [record_of(self.beliefs.local_member)]
         introduced = self.beliefs.rumours.introduction()
         return [record_of(introduced)] if introduced else []
 
     def gossip(self, *about: bytes) -> Gossip:
         """Write what the next heartbeat carries."""
         now = trio.current_time()
-        first = (self.beliefs.itself.tag, *about)
+        first = (self.beliefs.local_member.tag, *about)
         return Gossip(
             members=tuple(self.introductions(about)),
             states=self.beliefs.rumours.states(first),
@@ -141,7 +141,7 @@
         sender.heard_at = now
         for rumour in unpack(gossip.states):
             self.beliefs.take_state(rumour, now)
-        if sender.member.domain == self.beliefs.itself.domain:
+        if sender.member.domain == self.beliefs.local_member.domain:
             self.beliefs.contacts.take(gossip.heard, now)
         else:
             self.beliefs.contacts.hear(sender.member.domain, now)
--- a/burdocksill/membership/hints.py
+++ b/burdocksill/membership/hints.py
@@ -88,7 +88,8 @@
         now = self.clock()
         own = self.next_own()
         parts = [
-            self.pack_one(self.members.itself.tag, hint, 0) for hint in own
+            self.pack_one(self.members.local_member.tag, hint, 0)
+            for hint in own
         ]
         for _ in range(min(HINTS_PER_MESSAGE - len(parts), len(self.kept))):
             key, kept = self.kept.popitem(last=False)
@@ -163,7 +164,7 @@
 
     def keep(self, key: HintKey, hint: UpstreamHint, written_at: float) -> None:
         """Keep a hint that is newer than ours and tell the sink."""
-        own = key.owner_tag == self.members.itself.tag
+        own = key.owner_tag == self.members.local_member.tag
         known = self.kept.get(key)
         if own or (known is not None and known.written_at >= written_at):
             return
--- a/burdocksill/membership/listed.py
+++ b/burdocksill/membership/listed.py
@@ -29,7 +29,7 @@
 class ListedMembership:
     """Believe the platform's list."""
 
-    itself: Member
+    local_member: Member
     platform: Platform
     members: dict[bytes, Member] = attrs.field(factory=dict)
     left: dict[bytes, Member] = attrs.field(factory=dict)
@@ -87,7 +87,7 @@
             for record in records
             if record.role == ENTRY_ROLE and record.state is VmState.LIVE
         ]
-        fresh = {member.tag: member for member in (*listed, self.itself)}
+        fresh = {member.tag: member for member in (*listed, self.local_member)}
         known = self.members
         self.members = fresh
         self.left = {
--- a/burdocksill/membership/protocols.py
+++ b/burdocksill/membership/protocols.py
@@ -44,7 +44,7 @@
     """Tell which entry VMs are alive, as far as this VM knows."""
 
     @property
-    def itself(self) -> Member:
+    def local_member(self) -> Member:
         """Return this VM."""
 
     def live(self, domain: str) -> tuple[Member, ...]:
--- a/burdocksill/membership/quorum.py
+++ b/burdocksill/membership/quorum.py
@@ -74,7 +74,7 @@
             return False
         self.prune(now)
         since = max(now - WINDOW_SECONDS, self.resumed_at)
-        own = self.table.itself
+        own = self.table.local_member
         peers = {held.tag for held in self.table.live(own.domain)}
         asked = {attempt.tag for attempt in self.attempts} - {own.tag}
         just_resumed = now - self.resumed_at < WINDOW_SECONDS
--- a/burdocksill/membership/rotation.py
+++ b/burdocksill/membership/rotation.py
@@ -32,7 +32,7 @@
         """Shuffle the members to probe."""
         found = [
             held.member.tag
-            for held in self.table.of_domain(self.table.itself.domain)
+            for held in self.table.of_domain(self.table.local_member.domain)
             if self.is_probed(held, now)
         ]
         return self.rng.sample(found, len(found))
@@ -43,7 +43,7 @@
         A VM that is cut off from all others must not take their silence for
         a smaller domain at once: they stay in its quorum's count.
         """
-        if held.member.tag == self.table.itself.tag:
+        if held.member.tag == self.table.local_member.tag:
             return False
         dead = held.state is MemberState.DEAD
         return not dead or now - held.since < REFORM_SECONDS
--- a/burdocksill/membership/swim.py
+++ b/burdocksill/membership/swim.py
@@ -69,9 +69,9 @@
         )
 
     @property
-    def itself(self) -> Member:
+    def local_member(self) -> Member:
         """Return this VM."""
-        return self.table.itself
+        return self.table.local_member
 
     def live(self, domain: str) -> tuple[Member, ...]:
         """Return the members that may own upstreams, sorted by name."""
@@ -126,8 +126,8 @@
             self.heartbeats.send(probe, seed)
         peers = [
             held
-            for held in self.table.of_domain(self.itself.domain)
-            if held.member.tag != self.itself.tag
+            for held in self.table.of_domain(self.local_member.domain)
+            if held.member.tag != self.local_member.tag
         ]
         asked = self.rng.sample(peers, min(FIRST_PROBES, len(peers)))
         for held in asked:
@@ -197,8 +197,8 @@
         """Ask a few members to probe one that does not answer us."""
         others = [
             member
-            for member in self.table.live(self.itself.domain)
-            if member.tag not in {target.tag, self.itself.tag}
+            for member in self.table.live(self.local_member.domain)
+            if member.tag not in {target.tag, self.local_member.tag}
         ]
         for helper in self.rng.sample(others, min(HELPERS, len(others))):
             request = ProbeRequest(number=number, target=target.tag)
@@ -240,12 +240,14 @@
 
     async def leave(self) -> None:
         """Tell the others that this VM takes no new work from now on."""
-        self.beliefs.announce(MemberState.LEAVING, self.itself.incarnation + 1)
+        self.beliefs.announce(
+            MemberState.LEAVING, self.local_member.incarnation + 1
+        )
         for _ in range(LEAVE_TELLINGS):
             peers = [
                 member
-                for member in self.table.live(self.itself.domain)
-                if member.tag != self.itself.tag
+                for member in self.table.live(self.local_member.domain)
+                if member.tag != self.local_member.tag
             ]
             for peer in self.rng.sample(peers, min(FIRST_PROBES, len(peers))):
                 self.heartbeats.send_probe(peer, 0)
--- a/burdocksill/membership/table.py
+++ b/burdocksill/membership/table.py
@@ -47,7 +47,7 @@
 class MemberTable:
     """Merge beliefs and tell listeners when the members change."""
 
-    itself: Member
+    local_member: Member
     known: dict[bytes, KnownMember] = attrs.field(factory=dict)
     listeners: list[Callable[[], None]] = attrs.field(factory=list)
     owning: dict[str, tuple[Member, ...]] = attrs.field(factory=dict)
@@ -56,8 +56,8 @@
 
     def __attrs_post_init__(self) -> None:
         """Know this VM itself."""
-        self.known[self.itself.tag] = KnownMember(
-            member=self.itself,
+        self.known[self.local_member.tag] = KnownMember(
+            member=self.local_member,
             since=-math.inf,
             heard_at=math.inf,
         )
@@ -97,8 +97,8 @@
         held.left = member.state is MemberState.LEAVING or (
             held.left and member.state is MemberState.DEAD
         )
-        if member.tag == self.itself.tag:
-            self.itself = member
+        if member.tag == self.local_member.tag:
+            self.local_member = member
         if before != member or visible(before) is not visible(member):
             self.change(member, before.state.value)
 
--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -132,7 +132,7 @@
 
     def notice_losses(self) -> None:
         """Remember when a member of the domain was lost without a leave."""
-        domain = self.members.itself.domain
+        domain = self.members.local_member.domain
         live = {member.tag for member in self.members.live(domain)}
         leaving = {member.tag for member in self.members.leaving(domain)}
         if self.known_live - live - leaving:
@@ -155,7 +155,7 @@
 
     def wanted(self) -> dict[OwnedKey, Wanted]:
         """Return the upstreams for which this VM is the owner."""
-        itself = self.members.itself
+        itself = self.members.local_member
         live = self.members.live(itself.domain)
         found: dict[OwnedKey, Wanted] = {}
         if self.store.is_out(itself.domain):
@@ -213,7 +213,7 @@
 
     def former_owner(self, owned: OwnedUpstream) -> Member | None:
         """Return the member that owned an upstream before this VM."""
-        itself = self.members.itself
+        itself = self.members.local_member
         others = [
             member
             for member in (
@@ -246,7 +246,7 @@
         current = document.upstream(owned.upstream.name) if document else None
         if current is None or current.address != owned.upstream.address:
             return None
-        itself = self.members.itself
+        itself = self.members.local_member
         others = [
             member
             for member in self.members.live(domain)
--- a/tests/steps/entry_containment.py
+++ b/tests/steps/entry_containment.py
@@ -131,7 +131,7 @@
     hints: HintTable,
 ) -> CirclingPlacer:
     """Make a placer whose owner carries this VM's name and another tag."""
-    ghost = attrs.evolve(members.itself, domain='elsewhere')
+    ghost = attrs.evolve(members.local_member, domain='elsewhere')
     placer = make_placer(members, store, rng, hints)
     return CirclingPlacer(placer=placer, ghost=Ghost.of(ghost))
 
--- a/tests/steps/membership_fleet.py
+++ b/tests/steps/membership_fleet.py
@@ -264,7 +264,7 @@
     """Check that packets can still be relayed to a VM."""
 
     async def act(world: World) -> None:
-        tag = world.nodes[name].node.membership.itself.tag
+        tag = world.nodes[name].node.membership.local_member.tag
         for running in world.nodes.values():
             assert running.node.membership.find(tag) is not None
 
