--- a/burdocksill/membership/swim.py
+++ b/burdocksill/membership/swim.py
@@ -55,11 +55,11 @@
 
     def __attrs_post_init__(self) -> None:
         """Start an incarnation above those of earlier processes."""
-        itself = attrs.evolve(
+        local_member = attrs.evolve(
             self.itself_first,
             incarnation=int(self.clock.now()),
         )
-        self.table = MemberTable(itself=itself)
+        self.table = MemberTable(local_member=local_member)
         self.beliefs = Beliefs(table=self.table, counters=self.counters)
         self.heartbeats = Heartbeats(beliefs=self.beliefs)
         self.rotation = ProbeRotation(table=self.table, rng=self.rng)
