--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -155,18 +155,18 @@
 
     def wanted(self) -> dict[OwnedKey, Wanted]:
         """Return the upstreams for which this VM is the owner."""
-        itself = self.members.local_member
-        live = self.members.live(itself.domain)
+        local_member = self.members.local_member
+        live = self.members.live(local_member.domain)
         found: dict[OwnedKey, Wanted] = {}
-        if self.store.is_out(itself.domain):
+        if self.store.is_out(local_member.domain):
             return found
         for document in self.store.services.values():
             for upstream in document.upstreams:
-                if upstream.domain != itself.domain:
+                if upstream.domain != local_member.domain:
                     continue
                 name = subject(document.service, upstream.name)
                 owner = owner_of(live, name)
-                if owner is not None and owner.tag == itself.tag:
+                if owner is not None and owner.tag == local_member.tag:
                     key = OwnedKey(
                         service=document.service,
                         upstream_tag=name_tag(upstream.name),
@@ -213,14 +213,14 @@
 
     def former_owner(self, owned: OwnedUpstream) -> Member | None:
         """Return the member that owned an upstream before this VM."""
-        itself = self.members.local_member
+        local_member = self.members.local_member
         others = [
             member
             for member in (
-                *self.members.live(itself.domain),
-                *self.members.leaving(itself.domain),
+                *self.members.live(local_member.domain),
+                *self.members.leaving(local_member.domain),
             )
-            if member.tag != itself.tag
+            if member.tag != local_member.tag
         ]
         name = subject(owned.document.service, owned.upstream.name)
         return owner_of(others, name)
@@ -246,11 +246,11 @@
         current = document.upstream(owned.upstream.name) if document else None
         if current is None or current.address != owned.upstream.address:
             return None
-        itself = self.members.local_member
+        local_member = self.members.local_member
         others = [
             member
             for member in self.members.live(domain)
-            if member.tag != itself.tag
+            if member.tag != local_member.tag
         ]
         name = subject(owned.document.service, current.name)
         return self.successor_policy.heir(others, name)
