--- a/burdocksill/entry/fleet.py
+++ b/burdocksill/entry/fleet.py
@@ -49,7 +49,7 @@
     def __attrs_post_init__(self) -> None:
         """Prepare what needs no task."""
         self.membership = SwimMembership(
-            itself_first=self.settings.member,
+            initial_member=self.settings.member,
             platform=self.platform,
             clock=self.clock,
             rng=self.rng,
--- a/burdocksill/membership/swim.py
+++ b/burdocksill/membership/swim.py
@@ -36,7 +36,7 @@
 class SwimMembership:
     """Probe one member a period; gossip rides on probes and their answers."""
 
-    itself_first: Member
+    initial_member: Member
     platform: Platform
     clock: WallClock
     rng: Random
@@ -56,7 +56,7 @@
     def __attrs_post_init__(self) -> None:
         """Start an incarnation above those of earlier processes."""
         local_member = attrs.evolve(
-            self.itself_first,
+            self.initial_member,
             incarnation=int(self.clock.now()),
         )
         self.table = MemberTable(local_member=local_member)
