--- a/burdocksill/entry/fleet.py
+++ b/burdocksill/entry/fleet.py
@@ -65,7 +65,7 @@
         self.membership.heartbeats.documents = self.gossip
         self.membership.heartbeats.hints = self.hints
         rank = WatcherRank(members=self.membership)
-        self.membership.reads_list = rank
+        self.membership.should_read_list = rank
         self.learner = PlatformLearner(
             platform=self.platform,
             store=self.store,
--- a/burdocksill/membership/swim.py
+++ b/burdocksill/membership/swim.py
@@ -44,7 +44,7 @@
     # Waits until the next tick; the lab's paused hosts wait longer.
     sleep: Callable[[float], Awaitable[None]] = trio.sleep
     # Tells whether this VM is one of the few that read the platform's list.
-    reads_list: Callable[[], bool] = lambda: True
+    should_read_list: Callable[[], bool] = lambda: True
     table: MemberTable = attrs.field(init=False)
     beliefs: Beliefs = attrs.field(init=False)
     heartbeats: Heartbeats = attrs.field(init=False)
@@ -151,7 +151,7 @@
         """Read the platform's list now and then, on the few VMs that do."""
         while True:
             await trio.sleep(LIST_SECONDS * self.rng.uniform(0.9, 1.1))
-            if self.reads_list():
+            if self.should_read_list():
                 await self.refresh()
 
     def tick(self) -> None:
