--- a/burdocksill/documents/gossip.py
+++ b/burdocksill/documents/gossip.py
@@ -15,7 +15,7 @@
 from burdocksill.network.protocols import Address
 from burdocksill.observe.counters import Counters
 from burdocksill.peers.channel import PeerChannel
-from burdocksill.peers.envelope import Opened
+from burdocksill.peers.envelope import VerifiedMessage
 from burdocksill.peers.messages import RecordChunk, RecordPull
 
 # A piece fits into one packet of any usual link.
@@ -112,7 +112,7 @@
         if self.channel is not None:
             self.channel.send(RecordPull(after=self.cursor), peer)
 
-    def take_pull(self, opened: Opened, peer: Address) -> None:
+    def take_pull(self, opened: VerifiedMessage, peer: Address) -> None:
         """Send the next records in revision order, a bounded number."""
         message = opened.message
         if not isinstance(message, RecordPull):
@@ -160,7 +160,7 @@
             )
             self.channel.send(chunk, peer)
 
-    def take_chunk(self, opened: Opened, peer: Address) -> None:
+    def take_chunk(self, opened: VerifiedMessage, peer: Address) -> None:
         """Put a record into force when its last piece has come."""
         chunk = opened.message
         if not isinstance(chunk, RecordChunk):
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -41,7 +41,7 @@
 from burdocksill.ownership.table import OwnerTable
 from burdocksill.ownership.unknown_epochs import UnknownEpochPolicy
 from burdocksill.peers.channel import PeerChannel
-from burdocksill.peers.envelope import Opened
+from burdocksill.peers.envelope import VerifiedMessage
 from burdocksill.peers.messages import RelayRequest
 from burdocksill.requests.blocks import Transfers, asks_later_block
 from burdocksill.requests.codec import (
@@ -137,7 +137,7 @@
         with self.tracing.first_hop('entry'):
             self.route(envelope)
 
-    def take_relayed(self, opened: Opened, peer: Address) -> None:
+    def take_relayed(self, opened: VerifiedMessage, peer: Address) -> None:
         """Serve a request that another VM relayed because we own it."""
         message = opened.message
         if not isinstance(message, RelayRequest):
--- a/burdocksill/membership/heartbeats.py
+++ b/burdocksill/membership/heartbeats.py
@@ -14,7 +14,7 @@
 from burdocksill.membership.rumours import member_from, record_of, unpack
 from burdocksill.network.protocols import Address
 from burdocksill.peers.channel import PeerChannel
-from burdocksill.peers.envelope import Opened
+from burdocksill.peers.envelope import VerifiedMessage
 from burdocksill.peers.messages import (
     Gossip,
     MemberRecord,
@@ -75,7 +75,7 @@
         if self.channel is not None:
             self.channel.send(message, peer)
 
-    def take_probe(self, opened: Opened, peer: Address) -> None:
+    def take_probe(self, opened: VerifiedMessage, peer: Address) -> None:
         """Answer a probe."""
         message = opened.message
         if isinstance(message, Probe):
@@ -83,7 +83,7 @@
             gossip = self.gossip(opened.sender_tag)
             self.send(ProbeAck(number=message.number, gossip=gossip), peer)
 
-    def take_ack(self, opened: Opened, peer: Address) -> None:
+    def take_ack(self, opened: VerifiedMessage, peer: Address) -> None:
         """Match an answer with the probe that waits for it."""
         message = opened.message
         if not isinstance(message, ProbeAck):
@@ -96,7 +96,7 @@
         if waiter is not None:
             waiter.set()
 
-    def take_request(self, opened: Opened, peer: Address) -> None:
+    def take_request(self, opened: VerifiedMessage, peer: Address) -> None:
         """Probe a member for somebody who cannot reach it."""
         message = opened.message
         if not isinstance(message, ProbeRequest) or self.nursery is None:
--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -18,7 +18,7 @@
 )
 from burdocksill.ownership.owned import OwnedUpstream, OwnershipState
 from burdocksill.ownership.table import OwnedKey, OwnerTable
-from burdocksill.peers.envelope import Opened
+from burdocksill.peers.envelope import VerifiedMessage
 from burdocksill.requests.exceptions import RequestFailedError
 from burdocksill.requests.refusals import refusal
 from burdocksill.requests.verdict import Reason, Verdict
@@ -47,7 +47,7 @@
     table: OwnerTable
     receivers: dict[bytes, HandoverReceiver] = attrs.field(factory=dict)
 
-    def take_request(self, opened: Opened, peer: Address) -> None:
+    def take_request(self, opened: VerifiedMessage, peer: Address) -> None:
         """Hand over to the member that says it is the owner now."""
         request = opened.message
         if not isinstance(request, HandoverRequest):
@@ -77,7 +77,7 @@
             for sender in self.table.senders
         )
 
-    def take_none(self, opened: Opened, peer: Address) -> None:
+    def take_none(self, opened: VerifiedMessage, peer: Address) -> None:
         """Serve at once: the former owner holds nothing."""
         message = opened.message
         if not isinstance(message, HandoverNone):
@@ -86,7 +86,7 @@
         if owned is not None and owned.state is OwnershipState.TAKING:
             self.table.start(owned)
 
-    def take_part(self, opened: Opened, peer: Address) -> None:
+    def take_part(self, opened: VerifiedMessage, peer: Address) -> None:
         """Gather a part; with the last one its epochs are held here."""
         part = opened.message
         if not isinstance(part, HandoverPart):
@@ -143,7 +143,7 @@
                 if entry.elsewhere and entry.answer is None:
                     table.window.settle(key, refusal(failure), now=now)
 
-    def take_ack(self, opened: Opened, peer: Address) -> None:
+    def take_ack(self, opened: VerifiedMessage, peer: Address) -> None:
         """Pass an acknowledgement to its transfer."""
         ack = opened.message
         if not isinstance(ack, HandoverAck):
@@ -152,7 +152,7 @@
             if sender.transfer == ack.transfer:
                 sender.take_ack(ack)
 
-    def take_settled(self, opened: Opened, peer: Address) -> None:
+    def take_settled(self, opened: VerifiedMessage, peer: Address) -> None:
         """Remember the answer of a request that ran at the former owner."""
         message = opened.message
         if not isinstance(message, HandoverSettled):
@@ -175,7 +175,7 @@
             peer,
         )
 
-    def take_settled_ack(self, opened: Opened, peer: Address) -> None:
+    def take_settled_ack(self, opened: VerifiedMessage, peer: Address) -> None:
         """Pass the acknowledgement of a late answer to its transfer."""
         ack = opened.message
         if not isinstance(ack, HandoverSettledAck):
--- a/burdocksill/peers/channel.py
+++ b/burdocksill/peers/channel.py
@@ -7,7 +7,7 @@
 
 from burdocksill.network.protocols import Address, DatagramSocket
 from burdocksill.observe.counters import Counters
-from burdocksill.peers.envelope import EnvelopeSealer, Opened
+from burdocksill.peers.envelope import EnvelopeSealer, VerifiedMessage
 from burdocksill.peers.exceptions import (
     PeerDatagramError,
     RefusedReason,
@@ -29,8 +29,10 @@
     socket: DatagramSocket
     sealer: EnvelopeSealer
     counters: Counters
-    handlers: dict[type, Callable[[Opened, Address], None]] = attrs.field(
-        factory=dict,
+    handlers: dict[type, Callable[[VerifiedMessage, Address], None]] = (
+        attrs.field(
+            factory=dict,
+        )
     )
     # Told of a datagram under a key that this VM lacks: it may be a new one.
     unknown_key: Callable[[], None] = ignore_unknown_key
--- a/burdocksill/peers/envelope.py
+++ b/burdocksill/peers/envelope.py
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Opened:
+class VerifiedMessage:
     """Hold a message whose sender was authenticated."""
 
     sender_tag: bytes
@@ -95,7 +95,7 @@
         body = header + self.encoder.encode(message)
         return body + sign(key.secret_bytes, body)
 
-    def open(self, payload: bytes) -> Opened:
+    def open(self, payload: bytes) -> VerifiedMessage:
         """Check and read one datagram; raise PeerDatagramError."""
         body = self.checked_body(payload)
         kind, sender, sent, sequence = HEADER.unpack_from(body)[2:]
@@ -117,7 +117,7 @@
                 message=f'sequence {sequence} was seen or is too old',
                 floor=self.replays.floor(sender, sequence),
             )
-        return Opened(
+        return VerifiedMessage(
             sender_tag=sender[:TAG_BYTES],
             sent_at=sent / MICROSECONDS,
             message=message,
