--- a/burdocksill/entry/fleet.py
+++ b/burdocksill/entry/fleet.py
@@ -91,7 +91,7 @@
                 clock=self.clock,
             ),
             counters=self.counters,
-            unknown_key=self.learner.want_keys,
+            on_unknown_key=self.learner.want_keys,
         )
         self.membership.heartbeats.attach(channel)
         self.gossip.attach(channel)
--- a/burdocksill/peers/channel.py
+++ b/burdocksill/peers/channel.py
@@ -35,7 +35,7 @@
         )
     )
     # Told of a datagram under a key that this VM lacks: it may be a new one.
-    unknown_key: Callable[[], None] = ignore_unknown_key
+    on_unknown_key: Callable[[], None] = ignore_unknown_key
 
     def send(self, message: object, peer: Address) -> bool:
         """Send one message; a lost one is repeated by whoever needs it."""
@@ -54,7 +54,7 @@
         """Count a refused datagram by its reason."""
         self.counters.add('peer_refused', reason=error.reason.value)
         if error.reason is RefusedReason.UNKNOWN_KEY:
-            self.unknown_key()
+            self.on_unknown_key()
 
     def dispatch(self, payload: bytes, peer: Address) -> None:
         """Open one datagram and call the handler of its kind."""
