--- a/burdocksill/documents/watchers.py
+++ b/burdocksill/documents/watchers.py
@@ -12,7 +12,7 @@
 
 
 @attrs.define(kw_only=True)
-class WatcherRank:
+class WatcherSelector:
     """Choose watchers by rendezvous rank; doubles do no harm."""
 
     members: MemberView
--- a/burdocksill/entry/fleet.py
+++ b/burdocksill/entry/fleet.py
@@ -12,7 +12,7 @@
 from burdocksill.documents.dissemination import PlatformLearner
 from burdocksill.documents.gossip import RecordGossip
 from burdocksill.documents.store import DocumentStore
-from burdocksill.documents.watchers import WatcherRank
+from burdocksill.documents.watchers import WatcherSelector
 from burdocksill.flows.keys import KeyHolder
 from burdocksill.membership.hints import HintGossip
 from burdocksill.membership.swim import SwimMembership
@@ -64,7 +64,7 @@
         )
         self.membership.heartbeats.documents = self.gossip
         self.membership.heartbeats.hints = self.hints
-        rank = WatcherRank(members=self.membership)
+        rank = WatcherSelector(members=self.membership)
         self.membership.should_read_list = rank
         self.learner = PlatformLearner(
             platform=self.platform,
