--- a/burdocksill/documents/dissemination.py
+++ b/burdocksill/documents/dissemination.py
@@ -31,7 +31,7 @@
 
 
 @attrs.define(kw_only=True)
-class PlatformLearner:
+class PlatformWatcher:
     """Read everything once at the start; then watch, on the few that do."""
 
     platform: Platform
--- a/burdocksill/entry/fleet.py
+++ b/burdocksill/entry/fleet.py
@@ -9,7 +9,7 @@
 import trio
 
 from burdocksill.conf.settings import Settings
-from burdocksill.documents.dissemination import PlatformLearner
+from burdocksill.documents.dissemination import PlatformWatcher
 from burdocksill.documents.gossip import RecordGossip
 from burdocksill.documents.store import DocumentStore
 from burdocksill.documents.watchers import WatcherSelector
@@ -44,7 +44,7 @@
     membership: SwimMembership = attrs.field(init=False)
     gossip: RecordGossip = attrs.field(init=False)
     hints: HintGossip = attrs.field(init=False)
-    learner: PlatformLearner = attrs.field(init=False)
+    learner: PlatformWatcher = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Prepare what needs no task."""
@@ -66,7 +66,7 @@
         self.membership.heartbeats.hints = self.hints
         rank = WatcherSelector(members=self.membership)
         self.membership.should_read_list = rank
-        self.learner = PlatformLearner(
+        self.learner = PlatformWatcher(
             platform=self.platform,
             store=self.store,
             keys=self.keys,
