--- a/burdocksill/documents/dissemination.py
+++ b/burdocksill/documents/dissemination.py
@@ -40,7 +40,7 @@
     counters: Counters = attrs.field(factory=Counters)
     rng: Random = attrs.field(factory=Random)
     watches: Callable[[], bool] = lambda: True
-    learned: trio.Event = attrs.field(factory=trio.Event)
+    synced: trio.Event = attrs.field(factory=trio.Event)
     keyed: trio.Event = attrs.field(factory=trio.Event)
     keys_wanted: trio.Event = attrs.field(factory=trio.Event)
     reachable: bool = True
@@ -60,7 +60,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.follow_keys)
             while True:
-                if self.watches() or not self.learned.is_set():
+                if self.watches() or not self.synced.is_set():
                     await self.attempt(self.follow)
                 await trio.sleep(RETRY_SECONDS)
 
@@ -84,7 +84,7 @@
         for stored in snapshot.values:
             self.take(stored)
         if self.keys.ring is not None:
-            self.learned.set()
+            self.synced.set()
         follow_on = partial(self.follow_changes, snapshot.revision + 1)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.end_watch, nursery.cancel_scope)
--- a/burdocksill/entry/fleet.py
+++ b/burdocksill/entry/fleet.py
@@ -111,11 +111,11 @@
         if not self.gossip.level.is_set():
             with trio.move_on_after(LEVEL_SECONDS):
                 await self.gossip.level.wait()
-        if self.learner.learned.is_set() or self.gossip.level.is_set():
+        if self.learner.synced.is_set() or self.gossip.level.is_set():
             return
         logger.warning('neither platform nor peers tell the documents')
         async with trio.open_nursery() as nursery:
-            for source in (self.learner.learned, self.gossip.level):
+            for source in (self.learner.synced, self.gossip.level):
                 nursery.start_soon(end_after, source, nursery.cancel_scope)
 
 
