--- a/burdocksill/documents/dissemination.py
+++ b/burdocksill/documents/dissemination.py
@@ -41,19 +41,19 @@
     rng: Random = attrs.field(factory=Random)
     watches: Callable[[], bool] = lambda: True
     synced: trio.Event = attrs.field(factory=trio.Event)
-    keyed: trio.Event = attrs.field(factory=trio.Event)
+    keys_loaded: trio.Event = attrs.field(factory=trio.Event)
     keys_wanted: trio.Event = attrs.field(factory=trio.Event)
     reachable: bool = True
 
     def __attrs_post_init__(self) -> None:
         """Start with the keys that the settings gave, if any."""
         if self.keys.ring is not None:
-            self.keyed.set()
+            self.keys_loaded.set()
 
     def use_keys(self, ring: KeyRing) -> None:
         """Start with keys that did not come from the platform."""
         self.keys.ring = ring
-        self.keyed.set()
+        self.keys_loaded.set()
 
     async def run(self) -> None:
         """Learn until cancelled; an outage leaves what is in force."""
@@ -141,7 +141,7 @@
         Keys never travel between VMs: datagrams are signed, not encrypted,
         and a VM without keys could not tell who sends them.
         """
-        await self.keyed.wait()
+        await self.keys_loaded.wait()
         while True:
             wait = KEYS_SECONDS * self.rng.uniform(0.5, 1)
             with trio.move_on_after(wait):
@@ -184,4 +184,4 @@
             self.counters.add('keys_unreadable')
             return
         self.keys.revision = stored.revision
-        self.keyed.set()
+        self.keys_loaded.set()
--- a/burdocksill/entry/fleet.py
+++ b/burdocksill/entry/fleet.py
@@ -82,7 +82,7 @@
     ) -> PeerChannel:
         """Learn keys, members and documents; return the channel to peers."""
         nursery.start_soon(self.learner.run)
-        await self.learner.keyed.wait()
+        await self.learner.keys_loaded.wait()
         channel = PeerChannel(
             socket=await network.open_datagrams(self.settings.peer),
             sealer=EnvelopeSealer(
