--- a/burdocksill/documents/dissemination.py
+++ b/burdocksill/documents/dissemination.py
@@ -150,7 +150,7 @@
             self.keys_wanted = trio.Event()
             await self.attempt(self.fetch_keys)
 
-    def want_keys(self) -> None:
+    def request_keys(self) -> None:
         """Ask for new keys soon."""
         self.keys_wanted.set()
 
--- a/burdocksill/entry/fleet.py
+++ b/burdocksill/entry/fleet.py
@@ -91,7 +91,7 @@
                 clock=self.clock,
             ),
             counters=self.counters,
-            on_unknown_key=self.learner.want_keys,
+            on_unknown_key=self.learner.request_keys,
         )
         self.membership.heartbeats.attach(channel)
         self.gossip.attach(channel)
