--- a/burdocksill/documents/dissemination.py
+++ b/burdocksill/documents/dissemination.py
@@ -39,7 +39,7 @@
     keys: KeyHolder
     counters: Counters = attrs.field(factory=Counters)
     rng: Random = attrs.field(factory=Random)
-    watches: Callable[[], bool] = lambda: True
+    is_watcher: Callable[[], bool] = lambda: True
     synced: trio.Event = attrs.field(factory=trio.Event)
     keys_loaded: trio.Event = attrs.field(factory=trio.Event)
     keys_wanted: trio.Event = attrs.field(factory=trio.Event)
@@ -60,7 +60,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.follow_keys)
             while True:
-                if self.watches() or not self.synced.is_set():
+                if self.is_watcher() or not self.synced.is_set():
                     await self.attempt(self.follow)
                 await trio.sleep(RETRY_SECONDS)
 
@@ -125,7 +125,7 @@
     async def end_watch(self, scope: trio.CancelScope) -> None:
         """End the watch once others of the domain rank before this VM."""
         await trio.sleep(RETRY_SECONDS)
-        while self.watches():  # noqa: ASYNC110
+        while self.is_watcher():  # noqa: ASYNC110
             await trio.sleep(RETRY_SECONDS)
         scope.cancel()
 
--- a/burdocksill/entry/fleet.py
+++ b/burdocksill/entry/fleet.py
@@ -72,7 +72,7 @@
             keys=self.keys,
             counters=self.counters,
             rng=self.rng,
-            watches=rank,
+            is_watcher=rank,
         )
 
     async def join(
