--- a/burdocksill/documents/gossip.py
+++ b/burdocksill/documents/gossip.py
@@ -54,7 +54,7 @@
     digest: Digest = attrs.field(factory=Digest)
     stale: bool = True
     # Set once a peer's digest was the same as ours.
-    level: trio.Event = attrs.field(factory=trio.Event)
+    in_sync: trio.Event = attrs.field(factory=trio.Event)
 
     def __attrs_post_init__(self) -> None:
         """Notice when the records change."""
@@ -94,7 +94,7 @@
             self.cursor = theirs.highest
             # Two VMs that both know nothing yet do not confirm each other.
             if theirs.highest:
-                self.level.set()
+                self.in_sync.set()
             return
         if trio.current_time() - self.pulled_at < PULL_SECONDS:
             return
--- a/burdocksill/entry/fleet.py
+++ b/burdocksill/entry/fleet.py
@@ -108,14 +108,14 @@
         answered the first heartbeats may be ahead of it, so they get a moment
         to say so.
         """
-        if not self.gossip.level.is_set():
+        if not self.gossip.in_sync.is_set():
             with trio.move_on_after(LEVEL_SECONDS):
-                await self.gossip.level.wait()
-        if self.learner.synced.is_set() or self.gossip.level.is_set():
+                await self.gossip.in_sync.wait()
+        if self.learner.synced.is_set() or self.gossip.in_sync.is_set():
             return
         logger.warning('neither platform nor peers tell the documents')
         async with trio.open_nursery() as nursery:
-            for source in (self.learner.synced, self.gossip.level):
+            for source in (self.learner.synced, self.gossip.in_sync):
                 nursery.start_soon(end_after, source, nursery.cancel_scope)
 
 
