--- a/burdocksill/entry/fleet.py
+++ b/burdocksill/entry/fleet.py
@@ -22,7 +22,7 @@
 from burdocksill.peers.envelope import EnvelopeSealer
 from burdocksill.platform.protocols import Platform
 
-LEVEL_SECONDS: Final = 0.5
+IN_SYNC_SECONDS: Final = 0.5
 
 logger = logging.getLogger(__name__)
 
@@ -109,7 +109,7 @@
         to say so.
         """
         if not self.gossip.in_sync.is_set():
-            with trio.move_on_after(LEVEL_SECONDS):
+            with trio.move_on_after(IN_SYNC_SECONDS):
                 await self.gossip.in_sync.wait()
         if self.learner.synced.is_set() or self.gossip.in_sync.is_set():
             return
