--- a/burdocksill/documents/models.py
+++ b/burdocksill/documents/models.py
@@ -59,7 +59,7 @@
                 return candidate
         return None
 
-    def tagged(self, tag: bytes) -> Upstream | None:
+    def upstream_by_tag(self, tag: bytes) -> Upstream | None:
         """Return an upstream by the tag that cookies carry."""
         for candidate in self.upstreams:
             if name_tag(candidate.name) == tag:
--- a/burdocksill/entry/domains.py
+++ b/burdocksill/entry/domains.py
@@ -47,7 +47,9 @@
     def left(self, service: str, cookie: Cookie) -> bool:
         """Return True when a flow's upstream is in a domain that is out."""
         document = self.store.services.get(service)
-        upstream = document.tagged(cookie.upstream_tag) if document else None
+        upstream = (
+            document.upstream_by_tag(cookie.upstream_tag) if document else None
+        )
         return upstream is not None and self.store.is_out(upstream.domain)
 
     def reason(self, service: str, cookie: Cookie | None) -> Reason:
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -282,7 +282,7 @@
     def follow_to_owner(self, envelope: Envelope, cookie: Cookie) -> None:
         """Go to the upstream's owner of today: it may be the heir."""
         document = self.store.services[envelope.request.service]
-        upstream = document.tagged(cookie.upstream_tag)
+        upstream = document.upstream_by_tag(cookie.upstream_tag)
         owner = self.placer.owner(document.service, upstream)
         if owner is not None and owner.tag == self.members.local_member.tag:
             owned = self.owners.find(document.service, cookie.upstream_tag)
