--- a/burdocksill/documents/store.py
+++ b/burdocksill/documents/store.py
@@ -85,7 +85,7 @@
     services: dict[str, ServiceDocument] = attrs.field(factory=dict)
     domains: dict[str, DomainRecord] = attrs.field(factory=dict)
     # Hosts of upstream VMs that the platform lists as leaving.
-    departing: frozenset[str] = frozenset()
+    leaving_hosts: frozenset[str] = frozenset()
     # The revision of each key that the views above show.
     in_force: dict[str, int] = attrs.field(factory=dict)
     unreadable: set[str] = attrs.field(factory=set)
@@ -131,7 +131,7 @@
                 offered.value,
                 type=DeparturesRecord,
             )
-            self.departing = frozenset(departures.hosts)
+            self.leaving_hosts = frozenset(departures.hosts)
 
     def is_out(self, domain: str) -> bool:
         """Return True when operators took the failure domain out."""
--- a/burdocksill/upstreams/departures.py
+++ b/burdocksill/upstreams/departures.py
@@ -27,7 +27,7 @@
 
     def is_leaving(self, upstream: Upstream, *, told: bool) -> bool:
         """Return True when any of the three says so."""
-        listed = upstream.host in self.store.departing
+        listed = upstream.host in self.store.leaving_hosts
         return upstream.draining or told or listed
 
 
