--- a/burdocksill/documents/store.py
+++ b/burdocksill/documents/store.py
@@ -87,7 +87,7 @@
     # Hosts of upstream VMs that the platform lists as leaving.
     leaving_hosts: frozenset[str] = frozenset()
     # The revision of each key that the views above show.
-    in_force: dict[str, int] = attrs.field(factory=dict)
+    applied_revisions: dict[str, int] = attrs.field(factory=dict)
     unreadable: set[str] = attrs.field(factory=set)
     listeners: list[Callable[[], None]] = attrs.field(factory=list)
 
@@ -110,7 +110,7 @@
             )
         else:
             self.unreadable.discard(offered.key)
-            self.in_force[offered.key] = offered.revision
+            self.applied_revisions[offered.key] = offered.revision
         for listener in self.listeners:
             listener()
         return True
--- a/burdocksill_lab/proofs/combined.py
+++ b/burdocksill_lab/proofs/combined.py
@@ -86,7 +86,7 @@
         name = f'{domain}-entry-{self.started}'
         running = self.world.begin_node(name, domain)
         look = partial(
-            self.look, name, id(running), running.node.store.in_force
+            self.look, name, id(running), running.node.store.applied_revisions
         )
         running.node.store.listeners.append(look)
 
@@ -260,7 +260,9 @@
     def check_in_force(self) -> None:
         """Look whether every VM has the last edit in force."""
         for name, running in sorted(self.world.nodes.items()):
-            found = running.node.store.in_force.get(document_key(SERVICE), 0)
+            found = running.node.store.applied_revisions.get(
+                document_key(SERVICE), 0
+            )
             if running.node.serving.is_set() and found < self.revision:
                 self.fail(f'{name} has {found}, not {self.revision}')
 
--- a/burdocksill_lab/proofs/document_in_force.py
+++ b/burdocksill_lab/proofs/document_in_force.py
@@ -74,7 +74,9 @@
 
     def in_force(self, running: RunningNode) -> int:
         """Return the revision of the document in force on a VM."""
-        return running.node.store.in_force.get(document_key(SERVICE), 0)
+        return running.node.store.applied_revisions.get(
+            document_key(SERVICE), 0
+        )
 
     async def edit(self, number: int) -> None:
         """Accept one edit, its answer lost now and then."""
