--- a/burdocksill/documents/store.py
+++ b/burdocksill/documents/store.py
@@ -67,7 +67,7 @@
 
 
 @attrs.define(kw_only=True)
-class BlindDomainRule:
+class IgnoreStatesDomainRule:
     """Pass over every word: the naive baseline of the control runs."""
 
     def is_out(self, record: DomainRecord | None) -> bool:
--- a/burdocksill_lab/proofs/domain_out.py
+++ b/burdocksill_lab/proofs/domain_out.py
@@ -13,7 +13,7 @@
     ServiceDocument,
     Upstream,
 )
-from burdocksill.documents.store import BlindDomainRule
+from burdocksill.documents.store import IgnoreStatesDomainRule
 from burdocksill.entry.components import Components
 from burdocksill.network.protocols import Address
 from burdocksill.peers.messages import MESSAGE_KINDS, RelayRequest
@@ -273,7 +273,9 @@
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control passes over the operators' word."""
         components = (
-            Components(domain_rule=BlindDomainRule) if control else Components()
+            Components(domain_rule=IgnoreStatesDomainRule)
+            if control
+            else Components()
         )
         books = Books()
         ended = run_seeded(seed, partial(story, seed, components, books))
