--- a/burdocksill/documents/store.py
+++ b/burdocksill/documents/store.py
@@ -58,7 +58,7 @@
 
 
 @attrs.define(kw_only=True)
-class OperatorsDomainRule:
+class OperatorDomainRule:
     """Follow the operators' last word, and serve where there is none."""
 
     def is_out(self, record: DomainRecord | None) -> bool:
@@ -80,7 +80,7 @@
     """Hold the records in force and tell listeners of each change."""
 
     rule: RevisionRule = attrs.field(factory=HighestRevisionRule)
-    domain_rule: DomainRule = attrs.field(factory=OperatorsDomainRule)
+    domain_rule: DomainRule = attrs.field(factory=OperatorDomainRule)
     records: dict[str, Versioned] = attrs.field(factory=dict)
     services: dict[str, ServiceDocument] = attrs.field(factory=dict)
     domains: dict[str, DomainRecord] = attrs.field(factory=dict)
--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -10,7 +10,7 @@
     DocumentStore,
     DomainRule,
     HighestRevisionRule,
-    OperatorsDomainRule,
+    OperatorDomainRule,
     RevisionRule,
 )
 from burdocksill.entry.shutdown import GracefulShutdown, ShutdownPolicy
@@ -90,7 +90,7 @@
 
     window: Callable[[], RequestWindow] = TokenWindow
     revision_rule: Callable[[], RevisionRule] = HighestRevisionRule
-    domain_rule: Callable[[], DomainRule] = OperatorsDomainRule
+    domain_rule: Callable[[], DomainRule] = OperatorDomainRule
     verifier: Callable[[], IdentityVerifier] = NameVerifier
     unknown_epoch_policy: Callable[[], UnknownEpochPolicy] = (
         IdempotentOnlyPolicy
