--- a/burdocksill/documents/store.py
+++ b/burdocksill/documents/store.py
@@ -42,7 +42,7 @@
 
 
 @attrs.define(kw_only=True)
-class LastWriterRule:
+class LastWriterWinsRule:
     """Let whatever comes last win: the naive baseline of the control runs."""
 
     def replaces(self, known: Versioned | None, offered: Versioned) -> bool:
--- a/burdocksill_lab/proofs/combined.py
+++ b/burdocksill_lab/proofs/combined.py
@@ -14,7 +14,7 @@
     ServiceDocument,
     Upstream,
 )
-from burdocksill.documents.store import LastWriterRule
+from burdocksill.documents.store import LastWriterWinsRule
 from burdocksill.entry.components import Components
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.ownership.unknown_epochs import AlwaysRunPolicy
@@ -297,7 +297,7 @@
             components = Components(
                 window=NoDeduplicationWindow,
                 unknown_epoch_policy=AlwaysRunPolicy,
-                revision_rule=LastWriterRule,
+                revision_rule=LastWriterWinsRule,
             )
         books = Books()
         ended = run_seeded(seed, partial(story, seed, components, books))
--- a/burdocksill_lab/proofs/document_in_force.py
+++ b/burdocksill_lab/proofs/document_in_force.py
@@ -9,7 +9,7 @@
 
 from burdocksill.documents.acceptance import put_document
 from burdocksill.documents.models import ServiceDocument, Upstream
-from burdocksill.documents.store import LastWriterRule
+from burdocksill.documents.store import LastWriterWinsRule
 from burdocksill.entry.components import Components
 from burdocksill.flows.keys import KeyRing
 from burdocksill.network.protocols import Address
@@ -259,7 +259,7 @@
     def run(self, *, seed: int, control: bool) -> ProofResult:
         """Run the story; the control lets the last writer win."""
         components = (
-            Components(revision_rule=LastWriterRule)
+            Components(revision_rule=LastWriterWinsRule)
             if control
             else Components()
         )
