--- a/burdocksill/documents/schema.py
+++ b/burdocksill/documents/schema.py
@@ -12,7 +12,7 @@
 from burdocksill.documents.models import ServiceDocument, Upstream, validate
 
 # What acceptance writes is not a team's to set.
-RESERVED: Final = frozenset(('edit_id', 'edits', 'deleted'))
+RESERVED_FIELDS: Final = frozenset(('edit_id', 'edits', 'deleted'))
 UPSTREAMS: Final = 'upstreams'
 # msgspec ends its messages with the path of the wrong value.
 WRONG_AT: Final = re.compile(r'^(?P<fault>.*) - at `\$\.?(?P<path>.*)`$')
@@ -43,7 +43,7 @@
     A mistyped name would otherwise be passed over without a word, and its
     default would be in force.
     """
-    allowed = names_of(ServiceDocument) - RESERVED
+    allowed = names_of(ServiceDocument) - RESERVED_FIELDS
     check_names('', raw, allowed)
     upstreams = raw.get(UPSTREAMS)
     if not isinstance(upstreams, list):
--- a/burdocksill/management/toml.py
+++ b/burdocksill/management/toml.py
@@ -7,13 +7,17 @@
 import attrs
 
 from burdocksill.documents.models import ServiceDocument
-from burdocksill.documents.schema import RESERVED
+from burdocksill.documents.schema import RESERVED_FIELDS
 
 
 def document_text(document: ServiceDocument) -> str:
     """Write a document as TOML, without what acceptance wrote."""
     known = attrs.asdict(document)
-    plain = {name: held for name, held in known.items() if name not in RESERVED}
+    plain = {
+        name: held
+        for name, held in known.items()
+        if name not in RESERVED_FIELDS
+    }
     return '\n'.join(table_lines('', plain)).strip() + '\n'
 
 
