--- a/burdocksill/documents/acceptance.py
+++ b/burdocksill/documents/acceptance.py
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Accepted:
+class AcceptedEdit:
     """Hold the revision under which an edit was accepted.
 
     An edit that others have overtaken already is in force as part of history:
@@ -84,12 +84,12 @@
     return (edit_id, *edits_of(stored))[:EDITS_KEPT]
 
 
-def found_edit(stored: StoredValue | None, edit_id: str) -> Accepted | None:
+def found_edit(stored: StoredValue | None, edit_id: str) -> AcceptedEdit | None:
     """Return the acceptance of an edit that a stored record tells of."""
     edits = edits_of(stored)
     if stored is None or edit_id not in edits:
         return None
-    return Accepted(
+    return AcceptedEdit(
         revision=stored.revision,
         edit_id=edit_id,
         overtaken=edits[0] != edit_id,
@@ -114,7 +114,7 @@
     edit_id: str
     expected_revision: int
 
-    async def write(self) -> Accepted:
+    async def write(self) -> AcceptedEdit:
         """Return the acceptance, or raise an error that says what is so."""
         for attempt in range(ATTEMPTS):
             if attempt:
@@ -130,7 +130,7 @@
             ),
         )
 
-    async def attempt(self) -> Accepted | None:
+    async def attempt(self) -> AcceptedEdit | None:
         """Swap once, then read back when the answer was lost."""
         try:
             swap = await self.platform.compare_and_swap(
@@ -141,10 +141,10 @@
         except PlatformUnavailableError:
             return await self.read_back()
         if swap.accepted:
-            return Accepted(revision=swap.revision, edit_id=self.edit_id)
+            return AcceptedEdit(revision=swap.revision, edit_id=self.edit_id)
         return self.judge(swap.current)
 
-    async def read_back(self) -> Accepted | None:
+    async def read_back(self) -> AcceptedEdit | None:
         """Look for our edit in the store; None while that cannot be told."""
         try:
             stored = await self.platform.read(self.key)
@@ -155,7 +155,7 @@
             return None
         return self.judge(stored)
 
-    def judge(self, stored: StoredValue | None) -> Accepted:
+    def judge(self, stored: StoredValue | None) -> AcceptedEdit:
         """Return the acceptance of our edit or raise a conflict."""
         accepted = found_edit(stored, self.edit_id)
         if accepted is not None:
@@ -178,7 +178,7 @@
     *,
     expected_revision: int | None = None,
     new_id: Callable[[], str] = new_edit_id,
-) -> Accepted:
+) -> AcceptedEdit:
     """Accept a document over the revision that the editor had seen."""
     validate(document)
     key = document_key(document.service)
@@ -218,7 +218,7 @@
     service: str,
     *,
     expected_revision: int | None = None,
-) -> Accepted:
+) -> AcceptedEdit:
     """Take a service out of force; its record stays and says so."""
     stored = await platform.read(document_key(service))
     if stored is None:
@@ -263,7 +263,7 @@
     state: DomainState,
     reason: str = '',
     new_id: Callable[[], str] = new_edit_id,
-) -> Accepted:
+) -> AcceptedEdit:
     """Accept an operator's word on a failure domain."""
     key = domain_key(domain)
     stored = await platform.read(key)
--- a/burdocksill/management/commands/document.py
+++ b/burdocksill/management/commands/document.py
@@ -10,7 +10,7 @@
 
 from burdocksill.checks.messages import Level
 from burdocksill.documents.acceptance import (
-    Accepted,
+    AcceptedEdit,
     delete_document,
     put_document,
 )
@@ -55,7 +55,7 @@
 class PutOutcome:
     """Hold what became of an edit."""
 
-    accepted: Accepted
+    accepted: AcceptedEdit
     in_force: InForce | None = None
 
 
@@ -111,7 +111,7 @@
 async def follow_up(
     target: Target,
     service: str,
-    accepted: Accepted,
+    accepted: AcceptedEdit,
     wait_seconds: float,
 ) -> PutOutcome:
     """Wait for an edit to be in force everywhere, if that was asked for."""
--- a/tests/steps/documents_acceptance.py
+++ b/tests/steps/documents_acceptance.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 from behave.runner import Context
 
-from burdocksill.documents.acceptance import Accepted, put_document
+from burdocksill.documents.acceptance import AcceptedEdit, put_document
 from burdocksill.documents.models import (
     ServiceDocument,
     Upstream,
@@ -60,7 +60,7 @@
     upstream = attrs.evolve(context.upstream, slots=slots)
     document = attrs.evolve(context.document, upstreams=(upstream,))
 
-    async def put() -> Accepted:
+    async def put() -> AcceptedEdit:
         return await put_document(
             context.platform, document, expected_revision=expected
         )
@@ -121,7 +121,7 @@
     platform = context.platform
     context.writes = platform.revision
 
-    async def put() -> Accepted:
+    async def put() -> AcceptedEdit:
         platform.faults.delay_seconds = 0.1
         async with trio.open_nursery() as nursery:
             nursery.start_soon(outage)
