--- a/burdocksill/upstreams/client.py
+++ b/burdocksill/upstreams/client.py
@@ -1,4 +1,4 @@
-"""Keep a verified connection to one upstream."""
+"""Client that keeps a verified connection to one upstream."""
 
 import logging
 from collections.abc import AsyncGenerator
@@ -37,7 +37,7 @@
 RECONNECT_SECONDS: Final = 0.5
 CONNECT_TIMEOUT_SECONDS: Final = 2.0
 IDENTITY_TIMEOUT_SECONDS: Final = 2.0
-# A silent connection is found within the pause and the timeout together.
+# An unresponsive connection is detected within the sum of these two.
 PING_SECONDS: Final = 1.0
 PING_TIMEOUT_SECONDS: Final = 2.5
 
@@ -46,10 +46,10 @@
 
 @attrs.define(kw_only=True)
 class NameVerifier:
-    """Accept an upstream that names the document's service and upstream.
+    """Accept an upstream that reports the document's service and upstream.
 
-    An address can have been given to another service since the document was
-    written; without this check its requests would reach that service.
+    An address may have been reassigned to another service since the document
+    was written; without this check, requests would reach that service.
     """
 
     def verify(
@@ -59,7 +59,7 @@
         if (seen.service, seen.upstream) != (service, upstream.name):
             raise IdentityMismatchError(
                 message=(
-                    f'{upstream.address} says it is {seen.upstream} of '
+                    f'{upstream.address} identifies as {seen.upstream} of '
                     f'{seen.service}, not {upstream.name} of {service}'
                 ),
                 hint='correct the address in the document',
@@ -68,7 +68,7 @@
 
 @attrs.define(kw_only=True)
 class VerifiedClient:
-    """Connect, verify, carry requests, watch, connect again."""
+    """Send requests on a verified connection and replace it when it fails."""
 
     service: str
     upstream: Upstream
@@ -90,21 +90,21 @@
 
     @property
     def instance(self) -> str:
-        """Return the instance that was verified last, empty before."""
+        """Return the last verified instance, or an empty string."""
         return self.identity.instance if self.identity else ''
 
     @property
     def leaving(self) -> bool:
-        """Return True when the upstream itself says that it leaves."""
+        """Return True when the upstream reports that it is draining."""
         return self.state is HealthState.DRAINING
 
     async def run(self) -> None:
         """Keep a verified connection until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                wait = RECONNECT_SECONDS
+                delay = RECONNECT_SECONDS
                 try:
-                    wait = await self.hold_connection(nursery)
+                    delay = await self.use_connection(nursery)
                 except (OSError, BurdocksillError, trio.TooSlowError) as error:
                     self.count('connections_failed')
                     self.state_logger.log_change(
@@ -113,13 +113,13 @@
                         upstream=self.upstream.name,
                         cause=str(error),
                     )
-                await trio.sleep(wait)
+                await trio.sleep(delay)
 
-    async def hold_connection(self, nursery: trio.Nursery) -> float:
-        """Use one connection until it is retired; return when to reconnect.
+    async def use_connection(self, nursery: trio.Nursery) -> float:
+        """Use one connection until it is retired; return the reconnect delay.
 
-        A retired connection that still has open streams goes on in its own
-        task while the next one is opened beside it.
+        A retired connection with open streams continues in its own task while
+        the next one is opened. The delay is in seconds.
         """
         with trio.fail_after(CONNECT_TIMEOUT_SECONDS):
             stream = await self.network.connect(self.upstream.address)
@@ -127,11 +127,11 @@
             stream=stream,
             authority=str(self.upstream.address),
         )
-        nursery.start_soon(self.carry, connection)
+        nursery.start_soon(self.serve_connection, connection)
         try:
             await self.verify(connection)
         except BaseException:
-            # Nothing may use a connection whose other end is not verified.
+            # No request may use a connection whose peer is not verified.
             connection.close()
             raise
         self.connection = connection
@@ -141,10 +141,10 @@
         self.count('connections_opened')
         await connection.retired.wait()
         self.connection = None
-        return self.settle_end(connection)
+        return self.handle_end(connection)
 
     async def verify(self, connection: UpstreamConnection) -> None:
-        """Learn who is at the other end before anything else is sent."""
+        """Check the peer's identity before any request is sent."""
         with trio.fail_after(IDENTITY_TIMEOUT_SECONDS):
             seen = await identify(connection)
         self.verifier.verify(
@@ -152,21 +152,21 @@
             upstream=self.upstream,
             seen=seen,
         )
-        self.take_instance(seen)
+        self.update_instance(seen)
 
-    def take_instance(self, seen: Identity) -> None:
-        """Start cold when the upstream has become a new instance."""
-        known = self.identity
+    def update_instance(self, seen: Identity) -> None:
+        """Store the identity; start cold when the instance has changed."""
+        previous = self.identity
         self.identity = seen
-        if known is not None and known.instance != seen.instance:
+        if previous is not None and previous.instance != seen.instance:
             self.state = HealthState.READY
             self.start_cold(NEW_INSTANCE)
 
-    def settle_end(self, connection: UpstreamConnection) -> float:
-        """Learn from how a connection ended; return when to reconnect."""
-        if connection.went_away:
-            # A GOAWAY may be a restart or a routine: until the upstream says
-            # otherwise on a new connection, it is taken to be leaving.
+    def handle_end(self, connection: UpstreamConnection) -> float:
+        """Update the state after a connection; return the reconnect delay."""
+        if connection.goaway_received:
+            # A GOAWAY may mean a restart or be routine. The upstream counts
+            # as leaving until it reports otherwise on a new connection.
             self.state = HealthState.DRAINING
             self.count('connections_gone_away')
             return RECONNECT_SECONDS
@@ -175,43 +175,43 @@
         return 0
 
     def start_cold(self, cause: str) -> None:
-        """Send the limit back to its cold start."""
+        """Return the limiter to its cold limit."""
         self.count('cold_starts', cause=cause)
         self.limiter.start_cold(cause=cause)
 
-    async def carry(self, connection: UpstreamConnection) -> None:
-        """Read one connection to its end, beside the tasks that watch it."""
+    async def serve_connection(self, connection: UpstreamConnection) -> None:
+        """Run a connection to its end, with its PINGs and polls."""
         async with connection.stream, trio.open_nursery() as nursery:
-            nursery.start_soon(self.watch, connection)
+            nursery.start_soon(self.close_when_silent, connection)
             nursery.start_soon(self.poll, connection)
-            nursery.start_soon(self.end_carry, connection, nursery)
+            nursery.start_soon(self.stop_when_ended, connection, nursery)
             await connection.run()
             nursery.cancel_scope.cancel()
 
-    async def end_carry(
+    async def stop_when_ended(
         self,
         connection: UpstreamConnection,
         nursery: trio.Nursery,
     ) -> None:
-        """Stop reading when the connection is given up on from outside."""
+        """Stop running a connection that another task has closed."""
         await connection.ended.wait()
         nursery.cancel_scope.cancel()
 
-    async def watch(self, connection: UpstreamConnection) -> None:
-        """Give a connection up when it has fallen silent.
+    async def close_when_silent(self, connection: UpstreamConnection) -> None:
+        """Close a connection that has become unresponsive.
 
-        Something between the two ends may have lost track of it: nothing
-        errors, requests just never end. The sign is a PING without any byte
-        in return; a new connection works at once, so the old is replaced.
+        A device on the path may have lost the connection's state: there is no
+        error, but requests never end. It is detected by a PING after which no
+        byte arrives. A new connection works at once, so it replaces the old.
         """
         try:
-            await self.probe_forever(connection)
+            await self.probe_until_silent(connection)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            # The reader sees the same end and settles what is open.
+            # The reader detects the same end and fails the open exchanges.
             return
 
-    async def probe_forever(self, connection: UpstreamConnection) -> None:
-        """Probe a connection until it falls silent."""
+    async def probe_until_silent(self, connection: UpstreamConnection) -> None:
+        """Send PINGs until nothing arrives in time, then close."""
         while True:
             with trio.move_on_after(PING_TIMEOUT_SECONDS):
                 await connection.probe()
@@ -226,23 +226,23 @@
             return
 
     async def poll(self, connection: UpstreamConnection) -> None:
-        """Ask for health and load until the connection is retired."""
+        """Poll health and load until the connection is retired."""
         while not connection.closed:
             if connection is self.connection:
                 health = await poll(connection, HEALTH_PATH, HealthReport)
                 load = await poll(connection, LOAD_PATH, LoadReport)
                 if not connection.closed:
-                    self.take_reports(health, load)
+                    self.apply_reports(health, load)
             await trio.sleep(POLL_SECONDS)
 
-    def take_reports(
+    def apply_reports(
         self,
         health: HealthReport | None,
         load: LoadReport | None,
     ) -> None:
-        """Take an upstream's own word, as far as it calls for caution."""
+        """Apply reports; they can only lower the limit or start cold."""
         if load is not None:
-            self.limiter.take_report(load.bearable)
+            self.limiter.apply_load_report(load.bearable)
         if health is None or health.state is self.state:
             return
         logger.info(
@@ -254,7 +254,7 @@
             self.start_cold('told')
 
     def count(self, name: str, *, cause: str = 'none') -> None:
-        """Count something that happened to this upstream."""
+        """Increment a counter of this upstream."""
         self.counters.add(
             name,
             service=self.service,
@@ -263,15 +263,15 @@
         )
 
     async def exchange(self, request: UpstreamRequest) -> UpstreamAnswer:
-        """Return a whole answer, or raise RequestFailedError."""
-        return await self.require().exchange(request)
+        """Return a complete answer, or raise RequestFailedError."""
+        return await self.require_connection().exchange(request)
 
     def feed(self, request: UpstreamRequest) -> AsyncGenerator[bytes, None]:
         """Yield a feed's notifications, or raise RequestFailedError."""
-        return self.require().feed(request)
+        return self.require_connection().feed(request)
 
-    def require(self) -> UpstreamConnection:
-        """Return the verified connection or say that nothing was sent."""
+    def require_connection(self) -> UpstreamConnection:
+        """Return the verified connection, or raise RequestFailedError."""
         if self.connection is None or self.connection.closed:
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
--- a/burdocksill/upstreams/connection.py
+++ b/burdocksill/upstreams/connection.py
@@ -24,7 +24,7 @@
 TIMEOUT_HEADER: Final = 'burdocksill-timeout-ms'
 FLOW_HEADER: Final = 'burdocksill-flow'
 FEED_AFTER_HEADER: Final = 'burdocksill-feed-after'
-LARGEST_ANSWER_BYTES: Final = 4 * 1024 * 1024
+MAX_ANSWER_BYTES: Final = 4 * 1024 * 1024
 HTTP_OK: Final = 200
 HTTP_UNAVAILABLE: Final = 503
 PING_BYTES: Final = 8
@@ -33,10 +33,10 @@
 
 @attrs.define(kw_only=True)
 class Exchange:
-    """Hold what has arrived of one answer.
+    """Hold the state of one request and the answer received so far.
 
-    `written` turns True when the first byte of the request goes to the
-    stream: until then the upstream cannot have seen it, so it was not run.
+    `written` becomes True before the first byte of the request is sent; until
+    then the upstream cannot have seen the request, so it did not run.
     """
 
     done: trio.Event = attrs.field(factory=trio.Event)
@@ -47,26 +47,26 @@
     retry_after: str = ''
     body: bytearray = attrs.field(factory=bytearray)
     failure: RequestFailedError | None = None
-    # Set and replaced whenever more of the body has arrived, or its end.
-    grown: trio.Event = attrs.field(factory=trio.Event)
+    # Set and replaced when more of the body or its end has arrived.
+    body_changed: trio.Event = attrs.field(factory=trio.Event)
 
     def fail(self, verdict: Verdict, reason: Reason) -> None:
-        """End the exchange without a whole answer."""
+        """End the exchange with a verdict and a reason."""
         self.end(RequestFailedError(verdict=verdict, reason=reason))
 
     def end(self, failure: RequestFailedError) -> None:
-        """End the exchange by an error."""
+        """End the exchange with an error."""
         self.failure = failure
         self.done.set()
-        self.wake()
+        self.notify_reader()
 
-    def wake(self) -> None:
-        """Wake whoever reads the body while it grows."""
-        self.grown.set()
-        self.grown = trio.Event()
+    def notify_reader(self) -> None:
+        """Wake the task that reads the body as it arrives."""
+        self.body_changed.set()
+        self.body_changed = trio.Event()
 
     async def lines(self) -> AsyncGenerator[bytes, None]:
-        """Yield each line of the body as soon as it is there."""
+        """Yield each line of the body as soon as it is complete."""
         while True:
             end = self.body.find(b'\n')
             if end >= 0 and self.status == HTTP_OK:
@@ -76,13 +76,16 @@
             elif self.done.is_set():
                 break
             else:
-                await self.grown.wait()
-        if self.whole().status != HTTP_OK:
+                await self.body_changed.wait()
+        if self.result().status != HTTP_OK:
             self.fail(Verdict.RAN, Reason.FEED_REFUSED)
-            self.whole()
+            self.result()
 
-    def lose(self, *, silent: bool) -> None:
-        """End the exchange because its connection is gone."""
+    def connection_lost(self, *, silent: bool) -> None:
+        """End the exchange because its connection ended.
+
+        `silent` means that the upstream may not know that it ended.
+        """
         if self.written and silent:
             self.end(
                 ConnectionSilentError(
@@ -95,12 +98,12 @@
         else:
             self.fail(Verdict.NOT_RUN, Reason.UPSTREAM_DOWN)
 
-    def whole(self) -> UpstreamAnswer:
-        """Return the answer, or raise what ended the exchange."""
+    def result(self) -> UpstreamAnswer:
+        """Return the complete answer, or raise RequestFailedError."""
         if self.failure is not None:
             raise self.failure
         if self.status == HTTP_UNAVAILABLE:
-            raise self.unavailable()
+            raise self.unavailable_error()
         return UpstreamAnswer(
             status=self.status,
             payload=bytes(self.body),
@@ -108,10 +111,10 @@
             etag=self.etag,
         )
 
-    def unavailable(self) -> RequestFailedError:
-        """Read a 503: only with Retry-After does it say "not run".
+    def unavailable_error(self) -> RequestFailedError:
+        """Return the error of a 503; it is "not run" only with Retry-After.
 
-        Without it the service itself may have failed half-way.
+        Without that header the service itself may have failed half-way.
         """
         if not self.retry_after:
             return RequestFailedError(
@@ -130,7 +133,10 @@
 
 @attrs.define(kw_only=True)
 class UpstreamConnection:
-    """Carry exchanges over one stream; `run` reads until it ends."""
+    """Multiplex exchanges over one HTTP/2 connection.
+
+    `run` reads and writes until the connection ends.
+    """
 
     stream: trio.abc.Stream
     authority: str
@@ -138,15 +144,15 @@
     exchanges: dict[int, Exchange] = attrs.field(factory=dict)
     queued: trio.Event = attrs.field(factory=trio.Event)
     window_opened: trio.Event = attrs.field(factory=trio.Event)
-    heard: trio.Event = attrs.field(factory=trio.Event)
-    # Set when no new request may use the connection any more.
+    received: trio.Event = attrs.field(factory=trio.Event)
+    # Set when no new request may use the connection.
     retired: trio.Event = attrs.field(factory=trio.Event)
-    # Set when the connection is of no use to any request.
+    # Set when open requests can't be completed on the connection either.
     ended: trio.Event = attrs.field(factory=trio.Event)
-    went_away: bool = False
+    goaway_received: bool = False
 
     def __attrs_post_init__(self) -> None:
-        """Prepare the protocol's state and its preface."""
+        """Initialise the HTTP/2 state and queue the connection preface."""
         self.state = LenientConnection(client_side=True)
         self.state.initiate_connection()
         self.flush()
@@ -157,11 +163,11 @@
         return self.retired.is_set()
 
     def flush(self) -> None:
-        """Let the writer send what the protocol has queued."""
+        """Wake the writer to send the queued frames."""
         self.queued.set()
 
     async def run(self) -> None:
-        """Read and write until the connection ends, then fail what is open."""
+        """Read and write until the end, then fail the open exchanges."""
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.write)
@@ -171,17 +177,17 @@
             self.close()
 
     async def write(self) -> None:
-        """Send what is queued, in order.
+        """Send the queued frames in order.
 
-        Only this task sends: a request's deadline that cancels a send would
-        leave half a frame behind and so break every other request.
+        Only this task sends: if a request's deadline cancelled a send, half a
+        frame would be left on the connection and break every other request.
         """
         while not self.ended.is_set():
             await self.queued.wait()
             self.queued = trio.Event()
             pending = self.state.data_to_send()
-            # From here on the upstream may have seen each request whose
-            # headers are queued, even if the send fails half-way.
+            # The upstream may see every request whose headers are queued,
+            # even if the send fails half-way.
             for exchange in self.exchanges.values():
                 exchange.written = True
             try:
@@ -190,8 +196,8 @@
                 self.close()
 
     async def read(self) -> None:
-        """Apply events until the connection ends."""
-        while not (self.went_away and not self.exchanges):
+        """Handle events until the connection ends."""
+        while not (self.goaway_received and not self.exchanges):
             try:
                 events = await self.receive_events()
             except (
@@ -199,66 +205,69 @@
                 trio.ClosedResourceError,
                 h2.exceptions.ProtocolError,
             ):
-                # The peer or this VM ended the stream; the answers still
-                # open are settled by whoever called.
+                # The upstream or this VM closed the stream; `run` fails the
+                # exchanges that are still open.
                 return
             if not events:
                 return
             for event in events:
-                self.take(event)
+                self.handle(event)
             self.flush()
 
     async def receive_events(self) -> list[h2.events.Event]:
-        """Return the events of the next bytes, none at the end."""
+        """Return the next events, or an empty list at the end of the stream."""
         while True:
-            received = await self.stream.receive_some(READ_BYTES)
-            if not received:
+            chunk = await self.stream.receive_some(READ_BYTES)
+            if not chunk:
                 return []
-            self.hear()
-            events = self.state.receive_data(bytes(received))
+            self.notify_received()
+            events = self.state.receive_data(bytes(chunk))
             if events:
                 return events
 
-    def hear(self) -> None:
-        """Tell whoever watches that the upstream has sent something."""
-        self.heard.set()
-        self.heard = trio.Event()
+    def notify_received(self) -> None:
+        """Wake `probe`, as the upstream has sent something."""
+        self.received.set()
+        self.received = trio.Event()
 
     async def probe(self) -> None:
         """Send a PING and wait until anything arrives."""
-        heard = self.heard
+        received = self.received
         self.state.ping(bytes(PING_BYTES))
         self.flush()
-        await heard.wait()
+        await received.wait()
 
     def close(self, *, silent: bool = False) -> None:
-        """Fail every open exchange with what its request may have done."""
+        """End the connection and fail every open exchange.
+
+        `silent` means that the upstream may not know that it ended.
+        """
         for exchange in self.exchanges.values():
-            exchange.lose(silent=silent)
+            exchange.connection_lost(silent=silent)
         self.exchanges.clear()
         self.retired.set()
         self.ended.set()
         self.window_opened.set()
 
-    def take(self, event: h2.events.Event) -> None:
-        """Apply one event of the protocol."""
+    def handle(self, event: h2.events.Event) -> None:
+        """Handle one HTTP/2 event."""
         match event:
             case h2.events.ResponseReceived():
-                self.take_headers(event)
+                self.handle_headers(event)
             case h2.events.DataReceived():
-                self.take_data(event)
+                self.handle_data(event)
             case h2.events.StreamEnded():
                 self.finish(event.stream_id)
             case h2.events.StreamReset():
-                self.take_reset(event)
+                self.handle_reset(event)
             case h2.events.WindowUpdated():
                 self.window_opened.set()
                 self.window_opened = trio.Event()
             case h2.events.ConnectionTerminated():
-                self.take_goaway(event)
+                self.handle_goaway(event)
 
-    def take_headers(self, event: h2.events.ResponseReceived) -> None:
-        """Read an answer's status and headers."""
+    def handle_headers(self, event: h2.events.ResponseReceived) -> None:
+        """Store an answer's status and headers."""
         exchange = self.exchanges.get(event.stream_id)
         if exchange is None:
             return
@@ -271,28 +280,28 @@
         exchange.etag = headers.get('etag', '')
         exchange.retry_after = headers.get('retry-after', '')
 
-    def take_data(self, event: h2.events.DataReceived) -> None:
-        """Append a part of an answer and open the window again."""
+    def handle_data(self, event: h2.events.DataReceived) -> None:
+        """Append a part of an answer and extend the flow-control window."""
         length = event.flow_controlled_length or 0
         self.state.acknowledge_received_data(length, event.stream_id)
         exchange = self.exchanges.get(event.stream_id)
         if exchange is None or not event.data:
             return
         exchange.body.extend(event.data)
-        if len(exchange.body) > LARGEST_ANSWER_BYTES:
-            # `exchange` resets the stream; nothing more of it is kept.
+        if len(exchange.body) > MAX_ANSWER_BYTES:
+            # `exchange` resets the stream, so no more data is stored.
             exchange.fail(Verdict.RAN, Reason.ANSWER_TOO_LARGE)
-        exchange.wake()
+        exchange.notify_reader()
 
     def finish(self, stream_id: int) -> None:
-        """Complete an exchange: END_STREAM proves the answer whole."""
+        """Complete an exchange, as END_STREAM proves a complete answer."""
         exchange = self.exchanges.pop(stream_id, None)
         if exchange is not None:
             exchange.done.set()
-            exchange.wake()
+            exchange.notify_reader()
 
-    def take_reset(self, event: h2.events.StreamReset) -> None:
-        """Settle a reset stream: REFUSED_STREAM proves that it did not run."""
+    def handle_reset(self, event: h2.events.StreamReset) -> None:
+        """Fail a reset stream; REFUSED_STREAM proves that it did not run."""
         exchange = self.exchanges.pop(event.stream_id, None)
         if exchange is None:
             return
@@ -301,20 +310,20 @@
         else:
             exchange.fail(Verdict.MAY_HAVE_RUN, Reason.UPSTREAM_LOST)
 
-    def take_goaway(self, event: h2.events.ConnectionTerminated) -> None:
-        """Settle the streams above the last one that the upstream took.
+    def handle_goaway(self, event: h2.events.ConnectionTerminated) -> None:
+        """Fail the streams above the last one that GOAWAY names.
 
-        Those at or below it go on: the upstream promised to finish them.
+        The upstream promises to finish those at or below it.
         """
         last = event.last_stream_id or 0
         for stream_id in [known for known in self.exchanges if known > last]:
             exchange = self.exchanges.pop(stream_id)
             exchange.fail(Verdict.NOT_RUN, Reason.UPSTREAM_LEAVING)
-        self.went_away = True
+        self.goaway_received = True
         self.retired.set()
 
     async def exchange(self, request: UpstreamRequest) -> UpstreamAnswer:
-        """Send a request and wait for its whole answer."""
+        """Send a request and return its complete answer."""
         if self.closed:
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
@@ -327,16 +336,16 @@
             await self.send_request(stream_id, request)
             await exchange.done.wait()
         except h2.exceptions.ProtocolError:
-            # The upstream allows no more streams, or the connection ended:
-            # the protocol's state refused the headers, so nothing was sent.
+            # The upstream allows no more streams, or the connection ended. h2
+            # refused the headers, so nothing was sent.
             self.exchanges.pop(stream_id, None)
-            exchange.lose(silent=False)
+            exchange.connection_lost(silent=False)
         finally:
             self.abandon(stream_id)
-        return exchange.whole()
+        return exchange.result()
 
     def abandon(self, stream_id: int) -> None:
-        """Tell the upstream that nobody waits for a stream any more."""
+        """Cancel a stream whose answer is no longer awaited."""
         if self.exchanges.pop(stream_id, None) is None:
             return
         self.state.reset_stream(stream_id, h2.errors.ErrorCodes.CANCEL)
@@ -347,7 +356,7 @@
         stream_id: int,
         request: UpstreamRequest,
     ) -> None:
-        """Send the headers and the body as the window allows."""
+        """Send the headers, and the body as flow control allows."""
         self.state.send_headers(
             stream_id,
             headers(request, self.authority),
@@ -386,7 +395,7 @@
             async for line in exchange.lines():
                 yield line
         except h2.exceptions.ProtocolError as error:
-            # The upstream allows no more streams; nothing was sent.
+            # The upstream allows no more streams, so nothing was sent.
             self.exchanges.pop(stream_id, None)
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
@@ -400,10 +409,10 @@
     request: UpstreamRequest,
     authority: str,
 ) -> list[HeaderTuple]:
-    """Write a request's headers.
+    """Return a request's headers.
 
-    What differs with each request stays out of HPACK's table, which is
-    searched for every header and would fill up with entries of no use.
+    Values that differ with each request stay out of HPACK's dynamic table. It
+    is searched for every header and would fill up with useless entries.
     """
     headers = [
         HeaderTuple(':method', request.method),
@@ -414,8 +423,8 @@
     if request.content_type:
         headers.append(HeaderTuple('content-type', request.content_type))
     if request.timeout_seconds > 0:
-        left = int(request.timeout_seconds * 1000)
-        headers.append(NeverIndexedHeaderTuple(TIMEOUT_HEADER, str(left)))
+        timeout_ms = int(request.timeout_seconds * 1000)
+        headers.append(NeverIndexedHeaderTuple(TIMEOUT_HEADER, str(timeout_ms)))
     if request.flow:
         headers.append(NeverIndexedHeaderTuple(FLOW_HEADER, request.flow))
     if request.feed_after is not None:
--- a/burdocksill/upstreams/limits.py
+++ b/burdocksill/upstreams/limits.py
@@ -1,4 +1,4 @@
-"""Count an upstream's work against what it can bear."""
+"""Concurrency limits of an upstream, with a queue for requests above them."""
 
 import logging
 import math
@@ -18,12 +18,12 @@
 from burdocksill.upstreams.exceptions import ConnectionSilentError
 from burdocksill.upstreams.latency import Latency
 from burdocksill.upstreams.ramp import Ramp
-from burdocksill.upstreams.turns import expected_turns
-from burdocksill.upstreams.unseen import UnseenWork
+from burdocksill.upstreams.slot_times import expected_slot_times
+from burdocksill.upstreams.unseen import UntrackedWork
 
-# Deadlines bound the queue in time; this bounds it where they are long.
-QUEUE_LENGTH: Final = 32
-# Causes of a cold start that say more than that it is one.
+# Deadlines bound the waiting time; this bounds the queue when they are long.
+MAX_QUEUED: Final = 32
+# Causes of a cold start that are handled in a special way.
 CONNECTION_LOST: Final = 'connection-lost'
 NEW_INSTANCE: Final = 'new-instance'
 
@@ -32,7 +32,10 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Waiter:
-    """Wait in the queue for a slot."""
+    """Hold a request that waits in the queue for a slot.
+
+    `decided` is set when the request is admitted or refused.
+    """
 
     give_up_at: float
     decided: trio.Event = attrs.field(factory=trio.Event)
@@ -41,21 +44,21 @@
 
 @attrs.define(kw_only=True)
 class AdaptiveLimiter:
-    """Admit what the owner has measured the upstream to bear.
+    """Limit concurrency to what the upstream has proved to handle.
 
-    The limit never exceeds the document's slots. Work on a connection that
-    fell silent counts until its deadline: the upstream was not told that
-    nobody waits, so it may still be busy with it.
+    The limit never exceeds the document's slots. A request on a connection
+    that became unresponsive counts until its deadline: it could not be
+    cancelled, so the upstream may still be working on it.
     """
 
     name: str
     ramp: Ramp
     backlog: Backlog
     latency: Latency = attrs.field(factory=Latency)
-    # When each request that holds a slot got it.
+    # The time at which each running request got its slot.
     running: list[float] = attrs.field(factory=list)
     waiting: deque[Waiter] = attrs.field(factory=deque)
-    unseen: UnseenWork = attrs.field(factory=UnseenWork)
+    untracked: UntrackedWork = attrs.field(factory=UntrackedWork)
     silent_until: float = -math.inf
     shed_until: float = -math.inf
 
@@ -76,19 +79,19 @@
 
     @property
     def free(self) -> int:
-        """Return how many requests would be admitted without a wait."""
+        """Return how many requests would be admitted at once."""
         if self.paused:
             return 0
         return max(0, self.ramp.limit - self.occupied())
 
     @property
     def paused(self) -> bool:
-        """Return True while nothing is admitted: silence, or shedding."""
+        """Return True while nothing is admitted, after silence or shedding."""
         return trio.current_time() < max(self.silent_until, self.shed_until)
 
     def occupied(self) -> int:
-        """Return the work that the upstream may be busy with."""
-        return self.busy + len(self.unseen.until())
+        """Return how many requests the upstream may be working on."""
+        return self.busy + len(self.untracked.deadlines())
 
     @asynccontextmanager
     async def slot(self, *, deadline: float) -> AsyncGenerator[None, None]:
@@ -97,19 +100,19 @@
         try:
             yield
         except ConnectionSilentError:
-            self.unseen.orphan(deadline)
+            self.untracked.add_orphan(deadline)
             raise
         except RequestFailedError as failure:
-            self.take_failure(failure, trio.current_time() - started)
+            self.record_failure(failure, trio.current_time() - started)
             raise
         else:
-            self.take_success(trio.current_time() - started)
+            self.record_success(trio.current_time() - started)
         finally:
             self.running.remove(started)
             self.admit_waiting()
 
     async def acquire(self, deadline: float) -> float:
-        """Take a slot now, queue for one, or refuse at once."""
+        """Take a slot, queue for one, or raise RequestFailedError at once."""
         now = trio.current_time()
         if now < self.shed_until:
             raise self.refusal(Reason.UPSTREAM_SHED, self.shed_until - now)
@@ -121,26 +124,26 @@
             self.running.append(now)
             return now
         give_up_at = deadline - self.latency.fast
-        full = len(self.waiting) >= QUEUE_LENGTH
-        turn = next(islice(self.turns(), len(self.waiting), None))
-        if full or turn >= give_up_at:
+        full = len(self.waiting) >= MAX_QUEUED
+        slot_at = next(islice(self.slot_times(), len(self.waiting), None))
+        if full or slot_at >= give_up_at:
             raise self.refusal(Reason.OVERLOADED)
         return await self.queue(Waiter(give_up_at=give_up_at))
 
     async def queue(self, waiter: Waiter) -> float:
-        """Wait for a slot until it would come too late."""
+        """Wait for a slot as long as the deadline can still be met."""
         self.waiting.append(waiter)
         try:
             while not waiter.decided.is_set():
-                # A turn can also change when unseen work reaches its end.
-                changes = [waiter.give_up_at, *self.unseen.until()]
+                # Slots are also freed when untracked work reaches its end.
+                wake_times = [waiter.give_up_at, *self.untracked.deadlines()]
                 if trio.current_time() < self.silent_until:
-                    changes.append(self.silent_until)
-                with trio.move_on_at(min(changes)):
+                    wake_times.append(self.silent_until)
+                with trio.move_on_at(min(wake_times)):
                     await waiter.decided.wait()
                 self.admit_waiting()
         except BaseException:
-            # The caller cancelled; a slot granted meanwhile goes on.
+            # The caller cancelled: pass on a slot that was granted meanwhile.
             if waiter.granted_at is not None:
                 self.running.remove(waiter.granted_at)
             elif waiter in self.waiting:
@@ -152,53 +155,57 @@
         return waiter.granted_at
 
     def admit_waiting(self) -> None:
-        """Hand free slots to the queue and refuse whose turn is too late."""
-        self.drop_hopeless()
+        """Grant free slots in queue order; refuse waiters that are too late."""
+        self.refuse_late_waiters()
         while self.waiting and self.free:
             waiter = self.waiting.popleft()
             waiter.granted_at = trio.current_time()
             self.running.append(waiter.granted_at)
             waiter.decided.set()
 
-    def drop_hopeless(self) -> None:
-        """Refuse at once the waiters whose turn would come too late."""
-        kept: deque[Waiter] = deque()
-        turns = self.turns()
-        turn = next(turns)
-        shed = trio.current_time() < self.shed_until
+    def refuse_late_waiters(self) -> None:
+        """Refuse the waiters whose expected slot comes too late."""
+        remaining: deque[Waiter] = deque()
+        slot_times = self.slot_times()
+        slot_at = next(slot_times)
+        shedding = trio.current_time() < self.shed_until
         for waiter in self.waiting:
-            # What an upstream sheds can only be tried elsewhere.
-            if turn < waiter.give_up_at and not shed:
-                kept.append(waiter)
-                turn = next(turns)
+            # While the upstream sheds, only another upstream can help.
+            if slot_at < waiter.give_up_at and not shedding:
+                remaining.append(waiter)
+                slot_at = next(slot_times)
             else:
                 waiter.decided.set()
-        self.waiting = kept
+        self.waiting = remaining
 
-    def turns(self) -> Iterator[float]:
-        """Yield when each waiter may expect its slot."""
+    def slot_times(self) -> Iterator[float]:
+        """Yield the expected time of each waiter's slot, in queue order."""
         seconds = self.latency.fast
         ends = [started + seconds for started in self.running]
-        return expected_turns(
+        return expected_slot_times(
             now=max(trio.current_time(), self.silent_until),
-            ends=[*ends, *self.unseen.until()],
+            ends=[*ends, *self.untracked.deadlines()],
             slots=self.ramp.limit,
             seconds=seconds,
         )
 
-    def take_success(self, seconds: float) -> None:
-        """Learn from a whole answer."""
+    def record_success(self, seconds: float) -> None:
+        """Update latency and limit after a complete answer."""
         now = trio.current_time()
         if self.latency.add(seconds):
             self.start_cold(cause='latency-jump')
-        elif self.ramp.succeed(now):
+        elif self.ramp.add_success(now):
             logger.info(
                 'limit grew',
                 extra={'upstream': self.name, 'limit': self.ramp.limit},
             )
 
-    def take_failure(self, failure: RequestFailedError, seconds: float) -> None:
-        """Learn from a request that failed."""
+    def record_failure(
+        self,
+        failure: RequestFailedError,
+        seconds: float,
+    ) -> None:
+        """Update latency and limit after a failed request."""
         if failure.reason is Reason.UPSTREAM_SHED:
             now = trio.current_time()
             self.ramp.shed(now)
@@ -210,21 +217,21 @@
             self.latency.add(seconds)
 
     def start_cold(self, *, cause: str, silence_seconds: float = 0) -> None:
-        """Go back to the cold limit, after a silence where one is needed."""
+        """Return to the cold limit; admit nothing for `silence_seconds`."""
         now = trio.current_time()
         self.silent_until = max(self.silent_until, now + silence_seconds)
-        self.ramp.start(now, fallen=cause == CONNECTION_LOST)
+        self.ramp.start(now, connection_lost=cause == CONNECTION_LOST)
         if cause == NEW_INSTANCE:
-            # Another instance runs none of the work of the one before.
-            self.unseen.clear()
-        self.drop_hopeless()
+            # A new instance runs none of the earlier requests.
+            self.untracked.clear()
+        self.refuse_late_waiters()
         logger.info(
             'cold start',
             extra={'upstream': self.name, 'cause': cause},
         )
 
     def resume(self, limit: int) -> None:
-        """Go on from the limit that the owner before handed over."""
+        """Continue with the limit that the previous owner handed over."""
         self.ramp.limit = max(1, min(limit, self.ramp.slots))
         self.ramp.begin_step(trio.current_time())
         self.admit_waiting()
@@ -232,21 +239,21 @@
     def add_inherited(
         self, running: Iterable[bytes], *, seconds: float
     ) -> None:
-        """Count requests that the owner before still has in progress."""
-        self.unseen.add_inherited(running, trio.current_time() + seconds)
+        """Count the previous owner's requests in progress for `seconds`."""
+        self.untracked.add_inherited(running, trio.current_time() + seconds)
 
     def release_inherited(self, key: bytes) -> None:
-        """Stop counting one request of the owner before: it has ended."""
-        self.unseen.settle(key)
+        """Stop counting a previous owner's request that has ended."""
+        self.untracked.release(key)
         self.admit_waiting()
 
-    def take_report(self, bearable: int) -> None:
-        """Take what the upstream says it can bear at once."""
-        self.ramp.take_report(bearable, trio.current_time())
-        self.drop_hopeless()
+    def apply_load_report(self, bearable: int) -> None:
+        """Apply the concurrency that the upstream reports it can handle."""
+        self.ramp.apply_load_report(bearable, trio.current_time())
+        self.refuse_late_waiters()
 
     def refusal(self, reason: Reason, least: float = 0) -> RequestFailedError:
-        """Write a refusal with its time to come back."""
+        """Make a "not run" error with a retry-after time in seconds."""
         seconds = self.backlog.seconds(
             trio.current_time(),
             rate=self.ramp.limit / self.latency.fast,
@@ -261,7 +268,7 @@
 
 @attrs.define(kw_only=True)
 class FixedLimiter:
-    """Admit all slots from the start: the baseline of the control runs."""
+    """Admit all slots from the start, as the baseline of control runs."""
 
     slots: int
     busy: int = 0
@@ -275,12 +282,12 @@
 
     @property
     def free(self) -> int:
-        """Return how many requests would be admitted without a wait."""
+        """Return how many requests would be admitted at once."""
         return max(0, self.slots - self.busy)
 
     @asynccontextmanager
     async def slot(self, *, deadline: float) -> AsyncGenerator[None, None]:
-        """Hold one slot, or refuse at once."""
+        """Hold one slot, or raise RequestFailedError (not run) at once."""
         if self.busy >= self.slots:
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
@@ -293,21 +300,21 @@
             self.busy -= 1
 
     def start_cold(self, *, cause: str, silence_seconds: float = 0) -> None:
-        """Take no notice of a cold start."""
+        """Ignore cold starts."""
 
     def resume(self, limit: int) -> None:
-        """Take no notice of a handed-over limit."""
+        """Ignore the previous owner's limit."""
 
     def add_inherited(
         self, running: Iterable[bytes], *, seconds: float
     ) -> None:
-        """Take no notice of what the owner before has in progress."""
+        """Ignore the previous owner's requests in progress."""
 
     def release_inherited(self, key: bytes) -> None:
-        """Count nothing that the owner before had in progress."""
+        """Ignore that a previous owner's request has ended."""
 
-    def take_report(self, bearable: int) -> None:
-        """Take no notice of reports."""
+    def apply_load_report(self, bearable: int) -> None:
+        """Ignore load reports."""
 
 
 def make_limiter(
@@ -317,7 +324,7 @@
     cold_limit: int,
     rng: Random,
 ) -> AdaptiveLimiter:
-    """Make the limiter of one upstream, cold."""
+    """Make the limiter of one upstream, starting at the cold limit."""
     return AdaptiveLimiter(
         name=name,
         ramp=Ramp(slots=slots, cold_limit=cold_limit),
--- a/burdocksill/upstreams/protocols.py
+++ b/burdocksill/upstreams/protocols.py
@@ -1,4 +1,4 @@
-"""What can be replaced around an upstream."""
+"""Protocols of the parts that handle an upstream."""
 
 from collections.abc import AsyncGenerator, Iterable
 from contextlib import AbstractAsyncContextManager
@@ -14,7 +14,7 @@
 
 
 class UpstreamClient(Protocol):
-    """Carry requests to one upstream."""
+    """Send requests to one upstream."""
 
     @property
     def connected(self) -> bool:
@@ -22,24 +22,24 @@
 
     @property
     def instance(self) -> str:
-        """Return the instance that was verified last, empty before."""
+        """Return the last verified instance, or an empty string."""
 
     @property
     def leaving(self) -> bool:
-        """Return True when the upstream itself says that it leaves."""
+        """Return True when the upstream reports that it is draining."""
 
     async def run(self) -> None:
         """Keep a verified connection until cancelled."""
 
     async def exchange(self, request: UpstreamRequest) -> UpstreamAnswer:
-        """Return a whole answer, or raise RequestFailedError."""
+        """Return a complete answer, or raise RequestFailedError."""
 
     def feed(self, request: UpstreamRequest) -> AsyncGenerator[bytes, None]:
         """Yield a feed's notifications, or raise RequestFailedError."""
 
 
 class IdentityVerifier(Protocol):
-    """Decide whether an upstream is the one the document names."""
+    """Verify that an upstream is the one that the document names."""
 
     def verify(
         self, *, service: str, upstream: Upstream, seen: Identity
@@ -48,7 +48,7 @@
 
 
 class Limiter(Protocol):
-    """Count the work of one upstream against what it can bear."""
+    """Limit the concurrent requests of one upstream."""
 
     @property
     def cold(self) -> bool:
@@ -56,7 +56,7 @@
 
     @property
     def paused(self) -> bool:
-        """Return True while nothing is admitted: silence, or shedding."""
+        """Return True while nothing is admitted, after silence or shedding."""
 
     @property
     def limit(self) -> int:
@@ -64,41 +64,41 @@
 
     @property
     def free(self) -> int:
-        """Return how many requests would be admitted without a wait."""
+        """Return how many requests would be admitted at once."""
 
     def slot(self, *, deadline: float) -> AbstractAsyncContextManager[None]:
         """Hold one slot, or raise RequestFailedError (not run).
 
-        The limiter learns from the error that leaves the block, or from none.
+        The limiter adapts to the error that leaves the block, or to success.
         """
 
     def start_cold(self, *, cause: str, silence_seconds: float = 0) -> None:
-        """Go back to the cold limit, after a silence where one is needed."""
+        """Return to the cold limit; admit nothing for `silence_seconds`."""
 
     def resume(self, limit: int) -> None:
-        """Go on from the limit that the owner before handed over."""
+        """Continue with the limit that the previous owner handed over."""
 
     def add_inherited(
         self, running: Iterable[bytes], *, seconds: float
     ) -> None:
-        """Count requests that the owner before still has in progress."""
+        """Count the previous owner's requests in progress for `seconds`."""
 
     def release_inherited(self, key: bytes) -> None:
-        """Stop counting one request of the owner before: it has ended."""
+        """Stop counting a previous owner's request that has ended."""
 
-    def take_report(self, bearable: int) -> None:
-        """Take what the upstream says it can bear at once."""
+    def apply_load_report(self, bearable: int) -> None:
+        """Apply the concurrency that the upstream reports it can handle."""
 
 
 class HintSource(Protocol):
-    """Tell what this VM's own upstreams can take, for gossip to carry."""
+    """Return hints on the upstreams that this VM owns, for gossip."""
 
     def hints(self) -> tuple[UpstreamHint, ...]:
         """Return one hint for each owned upstream."""
 
 
 class HintSink(Protocol):
-    """Take what other owners tell of their upstreams."""
+    """Store the hints that other owners send."""
 
     def store_hints(self, owner: str, hints: tuple[UpstreamHint, ...]) -> None:
-        """Remember the hints of one owner."""
+        """Store the hints that one owner has sent."""
--- a/burdocksill/upstreams/ramp.py
+++ b/burdocksill/upstreams/ramp.py
@@ -1,27 +1,28 @@
-"""How many requests an upstream may run at once, learned by its owner."""
+"""Slow start of an upstream's concurrency limit."""
 
 from typing import Final
 
 import attrs
 
-# One step up needs this many successes and this long at the step below: work
-# warms an upstream, and a burst of quick answers alone proves little.
+# An increase needs both this many successes and this long at the current
+# limit: only work warms an upstream, and a burst of quick answers is not
+# enough evidence.
 STEP_SUCCESSES: Final = 16
 STEP_SECONDS: Final = 0.5
-# A step above what the upstream itself reports needs far more proof.
-DOUBT_SUCCESSES: Final = 64
-DOUBT_SECONDS: Final = 10.0
-# Each fall in mid-ramp doubles the proof that is asked for, up to this.
-LARGEST_CAUTION: Final = 16
+# An increase above the reported capacity needs far more evidence.
+EXCESS_STEP_SUCCESSES: Final = 64
+EXCESS_STEP_SECONDS: Final = 10.0
+# Each failure during a ramp doubles the required successes, up to this factor.
+MAX_SUCCESS_FACTOR: Final = 16
 
 
 @attrs.define(kw_only=True)
 class Ramp:
     """Grow a concurrency limit on success, from the cold limit to all slots.
 
-    `reported` is what the upstream says it can bear. It only lowers the limit:
-    a report that is too high changes nothing, and one that is too low or
-    frozen is overcome by proof, a step at a time.
+    `reported` is the concurrency that the upstream reports it can handle. A
+    report only lowers the limit: one that is too high changes nothing, and
+    one that is too low or stale is overruled by successes, step by step.
     """
 
     slots: int
@@ -29,11 +30,11 @@
     limit: int = attrs.field(init=False)
     reported: int = attrs.field(init=False)
     successes: int = 0
-    since: float = 0
-    caution: int = 1
+    step_started_at: float = 0
+    success_factor: int = 1
 
     def __attrs_post_init__(self) -> None:
-        """Start cold: nothing is known of the upstream yet."""
+        """Start at the cold limit, as nothing has been measured yet."""
         self.cold_limit = max(1, min(self.cold_limit, self.slots))
         self.limit = self.cold_limit
         self.reported = self.slots
@@ -43,59 +44,63 @@
         """Return True until the limit has reached all slots."""
         return self.limit < self.slots
 
-    def start(self, now: float, *, fallen: bool) -> None:
-        """Go back to the cold limit.
+    def start(self, now: float, *, connection_lost: bool) -> None:
+        """Return to the cold limit.
 
-        An upstream that falls in mid-ramp was pushed too fast: the next ramp
-        asks for twice the proof, or it would fall at the same step for ever.
+        An upstream whose connection is lost during a ramp was loaded too
+        fast. The next ramp needs twice the successes, or the upstream would
+        fail at the same limit again and again.
         """
-        if fallen and self.cold and self.limit > self.cold_limit:
-            self.caution = min(self.caution * 2, LARGEST_CAUTION)
+        if connection_lost and self.cold and self.limit > self.cold_limit:
+            self.success_factor = min(
+                self.success_factor * 2, MAX_SUCCESS_FACTOR
+            )
         self.limit = self.cold_limit
         self.begin_step(now)
 
     def begin_step(self, now: float) -> None:
-        """Count proof from here."""
+        """Restart the count of successes for the next increase."""
         self.successes = 0
-        self.since = now
+        self.step_started_at = now
 
-    def succeed(self, now: float) -> bool:
+    def add_success(self, now: float) -> bool:
         """Count a success; return True when the limit grew."""
         if not self.cold:
             return False
         self.successes += 1
-        if not self.proved(now):
+        if not self.may_increase(now):
             return False
         self.limit = min(self.slots, max(self.limit + 1, self.limit * 3 // 2))
         self.begin_step(now)
         if not self.cold:
-            self.caution = 1
+            self.success_factor = 1
         return True
 
-    def proved(self, now: float) -> bool:
-        """Return True when the next step is safe as far as one can tell."""
+    def may_increase(self, now: float) -> bool:
+        """Return True when there is enough evidence for an increase."""
         successes, seconds = STEP_SUCCESSES, STEP_SECONDS
         if self.limit >= self.reported:
-            successes, seconds = DOUBT_SUCCESSES, DOUBT_SECONDS
-        enough = self.successes >= successes * self.caution
-        return enough and now - self.since >= seconds
+            successes, seconds = EXCESS_STEP_SUCCESSES, EXCESS_STEP_SECONDS
+        enough = self.successes >= successes * self.success_factor
+        return enough and now - self.step_started_at >= seconds
 
     def shed(self, now: float) -> None:
-        """Halve the limit: the upstream refused work that we thought it had.
+        """Halve the limit because the upstream refused a request.
 
-        Shedding tells of load, not of a cold start, so the floor is one.
+        Shedding is a sign of overload rather than of a cold start, so the
+        limit may fall below the cold limit, down to one.
         """
         self.limit = max(1, self.limit // 2)
         self.begin_step(now)
 
-    def take_report(self, bearable: int, now: float) -> None:
-        """Take what the upstream says it can bear; only news lowers.
+    def apply_load_report(self, bearable: int, now: float) -> None:
+        """Lower the limit when the reported concurrency has decreased.
 
-        A frozen report is no news: it lowers once, and successes then win.
-        The floor of one request keeps a lie from starving the upstream.
+        A stale report lowers the limit once, and successes then raise it. The
+        minimum of one keeps a wrong report from starving the upstream.
         """
-        told = max(1, min(bearable, self.slots))
-        if told < self.reported and told < self.limit:
-            self.limit = told
+        bounded = max(1, min(bearable, self.slots))
+        if bounded < self.reported and bounded < self.limit:
+            self.limit = bounded
             self.begin_step(now)
-        self.reported = told
+        self.reported = bounded
--- a/burdocksill/upstreams/turns.py
+++ b/burdocksill/upstreams/slot_times.py
@@ -1,10 +1,10 @@
-"""When requests that wait for a slot get their turn."""
+"""Expected times at which queued requests get a slot."""
 
 import heapq
 from collections.abc import Iterator, Sequence
 
 
-def expected_turns(
+def expected_slot_times(
     *,
     now: float,
     ends: Sequence[float],
@@ -13,9 +13,10 @@
 ) -> Iterator[float]:
     """Yield when the first, the second and each later waiter gets a slot.
 
-    `ends` tells when the work in progress is expected to end; where it is more
-    than the slots, the first to end free none. A mean wait would let requests
-    in that are refused only once they have waited in vain.
+    `ends` are the expected ends of the work in progress; when there are more
+    of them than slots, the earliest ones free none. `seconds` is the expected
+    service time. A mean waiting time would not do: it would queue requests
+    that are refused only after they have waited.
     """
     expected = sorted(max(now, end) for end in ends)
     times = expected[max(0, len(expected) - slots) :]
--- a/burdocksill/upstreams/unseen.py
+++ b/burdocksill/upstreams/unseen.py
@@ -1,4 +1,4 @@
-"""Work that an upstream may be busy with and whose end is not seen here."""
+"""Requests that an upstream may still run but whose end is not observed."""
 
 from collections.abc import Iterable
 
@@ -7,36 +7,36 @@
 
 
 @attrs.define(kw_only=True)
-class UnseenWork:
-    """Count such work until its deadline: upstreams honour deadlines.
+class UntrackedWork:
+    """Count untracked requests until their deadlines, which upstreams honour.
 
-    It comes from connections that fell silent, of which the upstream knows
-    nothing, and from the requests that the owner before has in progress.
+    They come from connections that became unresponsive, which the upstream
+    may not have noticed, and from the previous owner's requests in progress.
     """
 
     orphans: list[float] = attrs.field(factory=list)
-    adopted: dict[bytes, float] = attrs.field(factory=dict)
+    inherited: dict[bytes, float] = attrs.field(factory=dict)
 
-    def until(self) -> list[float]:
-        """Return until when each piece of work counts, the first first."""
+    def deadlines(self) -> list[float]:
+        """Return the deadlines of the requests that count, in order."""
         now = trio.current_time()
-        self.orphans = [until for until in self.orphans if until > now]
-        adopted = [until for until in self.adopted.values() if until > now]
-        return sorted((*self.orphans, *adopted))
+        self.orphans = [due for due in self.orphans if due > now]
+        inherited = [due for due in self.inherited.values() if due > now]
+        return sorted((*self.orphans, *inherited))
 
-    def orphan(self, until: float) -> None:
-        """Count a request whose connection fell silent."""
-        self.orphans.append(until)
+    def add_orphan(self, deadline: float) -> None:
+        """Count a request whose connection became unresponsive."""
+        self.orphans.append(deadline)
 
-    def add_inherited(self, running: Iterable[bytes], until: float) -> None:
-        """Count requests that the owner before has in progress."""
-        self.adopted.update(dict.fromkeys(running, until))
+    def add_inherited(self, running: Iterable[bytes], deadline: float) -> None:
+        """Count the previous owner's requests in progress."""
+        self.inherited.update(dict.fromkeys(running, deadline))
 
-    def settle(self, key: bytes) -> None:
-        """Stop counting a request of the owner before: it has ended."""
-        self.adopted.pop(key, None)
+    def release(self, key: bytes) -> None:
+        """Stop counting a previous owner's request that has ended."""
+        self.inherited.pop(key, None)
 
     def clear(self) -> None:
-        """Count nothing: another instance runs none of it."""
+        """Stop counting everything, because a new instance runs none of it."""
         self.orphans.clear()
-        self.adopted.clear()
+        self.inherited.clear()
--- a/tests/steps/upstreams_connections.py
+++ b/tests/steps/upstreams_connections.py
@@ -17,7 +17,7 @@
 from burdocksill_lab.stand_ins.upstream import Fault, StandInUpstream
 
 COUNT = UpstreamRequest(method='POST', path='/returns', payload=b'7')
-PLACE = Upstream(
+UPSTREAM = Upstream(
     name='ledger-1',
     domain='cz-a',
     host='10.0.0.9',
@@ -26,17 +26,17 @@
     connections=10,
 )
 
-Act = Callable[[VerifiedClient, StandInUpstream], Awaitable[None]]
+Action = Callable[[VerifiedClient, StandInUpstream], Awaitable[None]]
 
 
-async def with_client(context: Context, act: Act) -> None:
-    """Run something with a client that has had time to connect."""
+async def with_client(context: Context, action: Action) -> None:
+    """Run an action with a client that has had time to connect."""
     network = FakeNetwork(rng=Random(context.seed))
     stand_in = context.stand_in
-    network.listeners[PLACE.address] = stand_in.serve_stream
+    network.listeners[UPSTREAM.address] = stand_in.serve_stream
     client = VerifiedClient(
         service='kiosk-ledger',
-        upstream=PLACE,
+        upstream=UPSTREAM,
         network=FakeHost(network=network, host='10.0.0.1'),
         limiter=make_limiter(
             name='ledger-1',
@@ -49,12 +49,12 @@
         nursery.start_soon(network.run)
         nursery.start_soon(client.run)
         await trio.sleep(0.1)
-        await act(client, stand_in)
+        await action(client, stand_in)
         nursery.cancel_scope.cancel()
 
 
 async def send(context: Context, client: VerifiedClient) -> None:
-    """Send a count and remember its answer or failure."""
+    """Send a count and store its answer or failure."""
     context.failure = None
     context.started = trio.current_time()
     try:
@@ -64,29 +64,29 @@
     context.took = trio.current_time() - context.started
 
 
-def play(context: Context) -> None:
-    """Run all acts that were planned."""
-    acts = context.acts
-    context.acts = []
+def run_actions_once(context: Context) -> None:
+    """Run the planned actions; later calls run nothing."""
+    actions = context.actions
+    context.actions = []
 
-    async def story() -> None:
-        async def run_acts(
+    async def script() -> None:
+        async def run_actions(
             client: VerifiedClient,
             stand_in: StandInUpstream,
         ) -> None:
-            for act in acts:
-                await act(client, stand_in)
+            for action in actions:
+                await action(client, stand_in)
 
-        await with_client(context, run_acts)
+        await with_client(context, run_actions)
 
-    if acts:
-        run_seeded(context.seed, story)
+    if actions:
+        run_seeded(context.seed, script)
 
 
 @given('a connected upstream with the fault "{fault}"')
 def plan_fault(context: Context, fault: str) -> None:
-    """Make the upstream."""
-    context.acts = []
+    """Make an upstream with a fault."""
+    context.actions = []
     context.stand_in = StandInUpstream(
         service='kiosk-ledger',
         name='ledger-1',
@@ -94,59 +94,59 @@
     )
 
 
-@given('a connected upstream that names another service')
-def plan_foreign(context: Context) -> None:
+@given('a connected upstream that identifies as another service')
+def plan_other_service(context: Context) -> None:
     """Make an upstream of another service at the address."""
-    context.acts = []
+    context.actions = []
     context.stand_in = StandInUpstream(
         service='statement-desk',
         name='ledger-1',
     )
 
 
-@when('a count goes over the connection')
+@when('a count is sent on the connection')
 def plan_count(context: Context) -> None:
     """Send a count."""
 
-    async def act(client: VerifiedClient, stand_in: StandInUpstream) -> None:
+    async def action(client: VerifiedClient, stand_in: StandInUpstream) -> None:
         await send(context, client)
         context.times = [*getattr(context, 'times', []), context.took]
 
-    context.acts.append(act)
+    context.actions.append(action)
 
 
-@when('the connection breaks and a count goes over it at once')
+@when('the connection breaks and a count is sent at once')
 def plan_break(context: Context) -> None:
-    """Break the connection at this end and send before anyone notices."""
+    """Close the stream and send before the client has noticed."""
 
-    async def act(client: VerifiedClient, stand_in: StandInUpstream) -> None:
-        connection = client.require()
+    async def action(client: VerifiedClient, stand_in: StandInUpstream) -> None:
+        connection = client.require_connection()
         with trio.CancelScope() as scope:
             scope.cancel()
             await connection.stream.aclose()
         await send(context, client)
 
-    context.acts.append(act)
+    context.actions.append(action)
 
 
 @when('the upstream works again and {seconds:g} s pass')
 def plan_recovery(context: Context, seconds: float) -> None:
-    """Let new connections work."""
+    """End the fault, so that new connections work, and wait."""
 
-    async def act(client: VerifiedClient, stand_in: StandInUpstream) -> None:
+    async def action(client: VerifiedClient, stand_in: StandInUpstream) -> None:
         stand_in.fault = Fault.NONE
         await trio.sleep(seconds)
 
-    context.acts.append(act)
+    context.actions.append(action)
 
 
-@when('GOAWAY comes between two counts on the connection')
+@when('GOAWAY arrives between two counts on the connection')
 def plan_goaway(context: Context) -> None:
-    """Send a count, let the upstream go away, and send another at once."""
+    """Send a count, make the upstream send GOAWAY, and send another count."""
 
-    async def act(client: VerifiedClient, stand_in: StandInUpstream) -> None:
+    async def action(client: VerifiedClient, stand_in: StandInUpstream) -> None:
         stand_in.work_seconds = 0.5
-        connection = client.require()
+        connection = client.require_connection()
 
         async def first() -> None:
             context.first: UpstreamAnswer = await connection.exchange(COUNT)
@@ -157,13 +157,13 @@
             stand_in.send_goaway()
             await send(context, client)
 
-    context.acts.append(act)
+    context.actions.append(action)
 
 
 @then('the connection\'s verdict is "{verdict}" for "{reason}"')
 def check_verdict(context: Context, verdict: str, reason: str) -> None:
-    """Compare what was raised."""
-    play(context)
+    """Check the verdict and reason of the failure."""
+    run_actions_once(context)
     assert context.failure is not None, context.answer
     found = (context.failure.verdict.value, context.failure.reason.value)
     assert found == (verdict, reason), found
@@ -171,15 +171,15 @@
 
 @then("the upstream's ledger has {count:d} counts")
 def check_ledger(context: Context, count: int) -> None:
-    """Check what ran."""
-    play(context)
+    """Check how many counts ran."""
+    run_actions_once(context)
     assert len(context.stand_in.ledger) == count, context.stand_in.ledger
 
 
 @then('the count was answered')
 def check_answered(context: Context) -> None:
     """Check the last answer."""
-    play(context)
+    run_actions_once(context)
     assert context.failure is None, context.failure
     assert context.answer.status == 200
 
@@ -187,11 +187,11 @@
 @then('the first count was answered')
 def check_first(context: Context) -> None:
     """Check the answer of the request in progress."""
-    play(context)
+    run_actions_once(context)
     assert context.first.status == 200
 
 
-@then('the silent connection was given up within {seconds:g} s')
-def check_silent(context: Context, seconds: float) -> None:
-    """Check how long the silence lasted."""
+@then('the unresponsive connection was closed within {seconds:g} s')
+def check_closed(context: Context, seconds: float) -> None:
+    """Check how long the first count took to fail."""
     assert context.times[0] <= seconds, context.times
