--- a/tests/steps/upstreams_flow_book.py
+++ b/tests/steps/upstreams_flow_book.py
@@ -1,4 +1,4 @@
-"""Steps about the flows that count against an upstream."""
+"""Steps about the count of an upstream's flows."""
 
 from behave import given, then, when
 from behave.runner import Context
@@ -6,33 +6,33 @@
 from burdocksill.upstreams.flows import FlowCounter
 
 
-@given('a flow book whose cookies last {seconds:d} seconds')
-def open_book(context: Context, seconds: int) -> None:
-    """Make an empty book."""
-    context.book = FlowCounter(lifetime_seconds=seconds)
+@given('a flow counter whose cookies last {seconds:d} seconds')
+def make_counter(context: Context, seconds: int) -> None:
+    """Make a counter without flows."""
+    context.flow_counter = FlowCounter(lifetime_seconds=seconds)
 
 
 @when('the flows "{names}" are opened at {now:d} seconds')
 def open_flows(context: Context, names: str, now: int) -> None:
     """Open some flows."""
     for name in names.split(', '):
-        context.book.open(name.encode(), now)
+        context.flow_counter.open(name.encode(), now)
 
 
 @when('the flow "{name}" is used at {now:d} seconds')
 def use_flow(context: Context, name: str, now: int) -> None:
-    """Use a flow."""
-    context.book.record_request(name.encode(), now)
+    """Record a request of a flow."""
+    context.flow_counter.record_request(name.encode(), now)
 
 
 @when('the flows "{names}" are closed')
 def close_flows(context: Context, names: str) -> None:
     """Close some flows."""
     for name in names.split(', '):
-        context.book.close(name.encode())
+        context.flow_counter.close(name.encode())
 
 
-@then('the flow book counts {count:d} at {now:d} seconds')
+@then('the flow counter counts {count:d} at {now:d} seconds')
 def check_count(context: Context, count: int, now: int) -> None:
     """Check the count at a time."""
-    assert context.book.count(now) == count, context.book
+    assert context.flow_counter.count(now) == count, context.flow_counter
