--- a/burdocksill/upstreams/admission.py
+++ b/burdocksill/upstreams/admission.py
@@ -1,4 +1,4 @@
-"""Which flows and requests an owner takes, and which it sends elsewhere."""
+"""Admission of flows and requests to an upstream, by its owner."""
 
 import math
 from typing import Final, Protocol
@@ -19,19 +19,20 @@
 from burdocksill.upstreams.messages import UpstreamHint
 from burdocksill.upstreams.protocols import Limiter, UpstreamClient
 
-# These refusals cost no upstream anything, so sending the request elsewhere
-# adds no load; shedding and full queues do, and are held to the budget.
-FREE_MOVES: Final = frozenset(
+# Rerouting after these refusals adds no load: no upstream saw the request.
+# After shedding or a full queue it does, so the retry budget limits it.
+UNBUDGETED_REASONS: Final = frozenset(
     (Reason.UPSTREAM_LEAVING, Reason.UPSTREAM_DOWN, Reason.UPSTREAM_COLD),
 )
-BUDGETED_MOVES: Final = frozenset((Reason.UPSTREAM_SHED, Reason.OVERLOADED))
-# Nowhere else to go: a flow may still wait here for better times, except at
-# an upstream that leaves, sheds or holds as many flows as it may.
-FINAL_REASONS: Final = frozenset(
+BUDGETED_REASONS: Final = frozenset((Reason.UPSTREAM_SHED, Reason.OVERLOADED))
+# A flow that no other upstream takes is refused for these reasons. For any
+# other reason it stays and may wait for the upstream to recover.
+REFUSED_REASONS: Final = frozenset(
     (Reason.UPSTREAM_LEAVING, Reason.OVERLOADED, Reason.UPSTREAM_SHED),
 )
-# A flow is moved for balance only to an upstream with this share of the load.
-REBALANCE_FACTOR: Final = 0.75
+# A flow is rerouted for balance only to an upstream whose load is below this
+# share of the load here.
+REBALANCE_LOAD_SHARE: Final = 0.75
 
 
 class FlowRerouter(Protocol):
@@ -43,12 +44,12 @@
         upstream: str,
         max_load: float = math.inf,
     ) -> bool:
-        """Return False when there is none, or none with less load."""
+        """Return False when no upstream has a load lower than `max_load`."""
 
 
 @attrs.define(kw_only=True)
 class Admission:
-    """Decide for one owned upstream; the owner's word is the last."""
+    """Decide which flows and requests one owned upstream takes."""
 
     service: str
     client: UpstreamClient
@@ -62,10 +63,12 @@
 
     def leaving(self, upstream: Upstream) -> bool:
         """Return True when an upstream gets no new work."""
-        return self.leaving_rule.is_leaving(upstream, told=self.client.leaving)
+        return self.leaving_rule.is_leaving(
+            upstream, reported=self.client.leaving
+        )
 
     def hint(self, upstream: Upstream) -> UpstreamHint:
-        """Return what other VMs may know of an upstream."""
+        """Return the hint on an upstream that gossip sends to other VMs."""
         return UpstreamHint(
             service=self.service,
             upstream=upstream.name,
@@ -84,63 +87,63 @@
         limit: int,
         instance: str,
     ) -> None:
-        """Go on where the owner before stopped.
+        """Continue with the requests and the limit of the previous owner.
 
-        Its requests in progress still hold slots. Its limit counts only if
-        the upstream has not become another instance meanwhile: that is cold.
+        Its requests in progress still hold slots. Its limit is used only when
+        the upstream is still the same instance; a new instance is cold.
         """
         self.limiter.add_inherited(running, seconds=seconds)
         if instance and instance == self.client.instance:
             self.limiter.resume(limit)
 
     def reroute_new_flow(self, envelope: Envelope, upstream: Upstream) -> bool:
-        """Send a new flow elsewhere; return False when it stays here.
+        """Reroute a new flow; return False when it stays here.
 
-        Raise RequestFailedError (not run) when it can't be anywhere.
+        Raise RequestFailedError (not run) when no upstream can take it.
         """
-        reason = self.unwilling(envelope, upstream)
+        reason = self.refusal_reason(envelope, upstream)
         if reason is None:
             return False
         if self.reroute(envelope, upstream.name):
             self.count('flows_sent_elsewhere', upstream, reason)
             return True
-        if reason in FINAL_REASONS:
+        if reason in REFUSED_REASONS:
             raise RequestFailedError(verdict=Verdict.NOT_RUN, reason=reason)
         return False
 
-    def unwilling(
+    def refusal_reason(
         self,
         envelope: Envelope,
         upstream: Upstream,
     ) -> Reason | None:
-        """Return why a new flow had better go elsewhere, None if it may stay.
+        """Return why a new flow should be rerouted, None when it may stay.
 
-        Hints are stale, so this word is the last: only the owner knows.
+        Placement worked from hints that may be stale; the owner decides.
         """
         if self.leaving(upstream):
             return Reason.UPSTREAM_LEAVING
         if not self.flows.admits(
             trio.current_time(),
             connections=upstream.connections,
-            foreign=self.foreign(envelope, upstream),
+            foreign=self.from_other_domain(envelope, upstream),
         ):
             return Reason.OVERLOADED
         if self.limiter.paused:
             return Reason.UPSTREAM_SHED
         if not self.client.connected:
             return Reason.UPSTREAM_DOWN
-        busy = self.limiter.cold and not self.limiter.free
-        if busy and not envelope.refused:
+        cold_and_full = self.limiter.cold and not self.limiter.free
+        if cold_and_full and not envelope.refused:
             return Reason.UPSTREAM_COLD
         return None
 
-    def foreign(self, envelope: Envelope, upstream: Upstream) -> bool:
+    def from_other_domain(self, envelope: Envelope, upstream: Upstream) -> bool:
         """Return True when a VM of another failure domain placed the flow."""
-        first = self.members.find(name_tag(envelope.hops[0]))
-        return first is not None and first.domain != upstream.domain
+        first_hop = self.members.find(name_tag(envelope.hops[0]))
+        return first_hop is not None and first_hop.domain != upstream.domain
 
     def refuse_if_leaving(self, upstream: Upstream) -> None:
-        """Raise RequestFailedError (not run) when an upstream leaves."""
+        """Raise RequestFailedError (not run) when an upstream is leaving."""
         if self.leaving(upstream):
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
@@ -153,30 +156,30 @@
         flow_id: bytes,
         upstream: Upstream,
     ) -> bool:
-        """Open a flow elsewhere whose request would have to wait here."""
+        """Reroute a flow whose request would have to queue here."""
         if self.limiter.paused:
-            # The upstream is not asked at all, so this adds no load to it.
-            sent = self.reroute(envelope, upstream.name)
+            # The upstream gets no request, so this needs no budget.
+            rerouted = self.reroute(envelope, upstream.name)
             reason = Reason.UPSTREAM_SHED
         else:
-            sent = self.rebalances(envelope, flow_id, upstream)
+            rerouted = self.reroute_for_balance(envelope, flow_id, upstream)
             reason = Reason.OVERLOADED
-        if sent:
+        if rerouted:
             self.flows.close(flow_id)
             self.count('flows_sent_away', upstream, reason)
-        return sent
+        return rerouted
 
-    def rebalances(
+    def reroute_for_balance(
         self,
         envelope: Envelope,
         flow_id: bytes,
         upstream: Upstream,
     ) -> bool:
-        """Open a flow at an upstream that is known to hold fewer.
+        """Reroute a flow to an upstream that holds fewer flows per slot.
 
-        Flows last for hours: without this an upstream that comes back stays
-        idle beside those that took its flows. The budget keeps it slow, and a
-        flow that has only just come stays: owners would send it round.
+        Flows last for hours, so an upstream that returns would otherwise stay
+        idle beside those that took over its flows. The retry budget limits
+        the rate. A new flow is not rerouted, or owners would pass it round.
         """
         now = trio.current_time()
         if self.limiter.free or not self.flows.established(flow_id, now):
@@ -184,7 +187,7 @@
         if not self.budget.has_token():
             return False
         flows = self.flows.count(now)
-        max_load = flows / upstream.slots * REBALANCE_FACTOR
+        max_load = flows / upstream.slots * REBALANCE_LOAD_SHARE
         if not self.reroute(envelope, upstream.name, max_load):
             return False
         return self.budget.withdraw()
@@ -196,15 +199,15 @@
         upstream: Upstream,
         answer: Answer,
     ) -> bool:
-        """Open a flow elsewhere whose request was refused here.
+        """Reroute a flow whose request was refused here.
 
-        The other owner answers with its own cookie; a late copy gets the
-        refusal that is settled here.
+        The other owner answers with its own cookie. A duplicate that arrives
+        late gets the refusal recorded here.
         """
         if answer.verdict is Verdict.RAN:
             self.budget.deposit()
             self.flows.record_request(flow_id, trio.current_time())
-        if not self.may_move(flow_id, answer):
+        if not self.may_reroute(flow_id, answer):
             return False
         if not self.reroute(envelope, upstream.name):
             return False
@@ -212,18 +215,21 @@
         self.count('flows_moved', upstream, answer.reason)
         return True
 
-    def may_move(self, flow_id: bytes, answer: Answer) -> bool:
-        """Return True for a refusal that may be tried elsewhere at once.
+    def may_reroute(self, flow_id: bytes, answer: Answer) -> bool:
+        """Return True for a refusal that another upstream may take at once.
 
-        Where everything is full, owners would send a flow round and round: a
-        flow that nothing ran for here yet is told when to come back.
+        While every upstream is full, owners would pass a flow round in a
+        loop. So only an established flow is rerouted; a new one gets the
+        refusal with its retry-after time.
         """
         if answer.verdict is not Verdict.NOT_RUN:
             return False
-        if answer.reason in BUDGETED_MOVES:
-            settled = self.flows.established(flow_id, trio.current_time())
-            return settled and self.budget.withdraw()
-        return answer.reason in FREE_MOVES
+        if answer.reason in BUDGETED_REASONS:
+            is_established = self.flows.established(
+                flow_id, trio.current_time()
+            )
+            return is_established and self.budget.withdraw()
+        return answer.reason in UNBUDGETED_REASONS
 
     def count(
         self,
@@ -231,7 +237,7 @@
         upstream: Upstream,
         reason: Reason | None,
     ) -> None:
-        """Count a flow that went elsewhere."""
+        """Count a rerouted flow."""
         self.counters.add(
             name,
             service=self.service,
