--- a/burdocksill/upstreams/hints.py
+++ b/burdocksill/upstreams/hints.py
@@ -1,4 +1,4 @@
-"""What this VM tells others of its upstreams, and what others told it."""
+"""Hints on upstreams that this VM sends to others and receives from them."""
 
 from collections.abc import Callable
 from typing import Final
@@ -8,13 +8,13 @@
 
 from burdocksill.upstreams.messages import UpstreamHint
 
-# A hint older than this says nothing: its owner is silent or cut off.
+# An older hint is ignored: its owner may be down or partitioned.
 HINT_LIFETIME_SECONDS: Final = 5.0
 
 
 @attrs.frozen(kw_only=True)
 class HintKey:
-    """Name an upstream of a service."""
+    """Identify an upstream of a service."""
 
     service: str
     upstream: str
@@ -22,48 +22,48 @@
 
 @attrs.define(kw_only=True)
 class ReceivedHint:
-    """Hold a hint, when it came, and what was placed here since."""
+    """Hold a hint, its time of arrival and the flows placed since then."""
 
     hint: UpstreamHint
-    at: float
+    received_at: float
     placed: int = 0
 
 
 @attrs.define(kw_only=True)
 class HintTable:
-    """Implement HintSource and HintSink on one VM."""
+    """Store hints by upstream; implements HintSource and HintSink."""
 
-    # Returns the hints of the upstreams that this VM owns now.
+    # Returns the hints of the upstreams that this VM owns.
     own: Callable[[], tuple[UpstreamHint, ...]]
-    held: dict[HintKey, ReceivedHint] = attrs.field(factory=dict)
+    stored: dict[HintKey, ReceivedHint] = attrs.field(factory=dict)
 
     def hints(self) -> tuple[UpstreamHint, ...]:
         """Return one hint for each owned upstream."""
         return self.own()
 
     def store_hints(self, owner: str, hints: tuple[UpstreamHint, ...]) -> None:
-        """Remember the hints of one owner."""
+        """Store the hints that one owner has sent."""
         now = trio.current_time()
         for hint in hints:
             key = HintKey(service=hint.service, upstream=hint.upstream)
-            self.held[key] = ReceivedHint(hint=hint, at=now)
+            self.stored[key] = ReceivedHint(hint=hint, received_at=now)
 
     def find(self, service: str, upstream: str) -> ReceivedHint | None:
-        """Return a hint that is fresh enough to say something."""
+        """Return the hint on an upstream, None when it is missing or old."""
         key = HintKey(service=service, upstream=upstream)
-        held = self.held.get(key)
-        if held is None:
+        received = self.stored.get(key)
+        if received is None:
             return None
-        if trio.current_time() - held.at > HINT_LIFETIME_SECONDS:
+        if trio.current_time() - received.received_at > HINT_LIFETIME_SECONDS:
             return None
-        return held
+        return received
 
     def refresh_local(self) -> None:
-        """Take this VM's own upstreams as they are now."""
+        """Store current hints of the upstreams that this VM owns."""
         self.store_hints('', self.own())
 
     def record_placement(self, service: str, upstream: str) -> None:
-        """Remember a placement that the hint can't show yet."""
-        held = self.held.get(HintKey(service=service, upstream=upstream))
-        if held is not None:
-            held.placed += 1
+        """Count a placement that the stored hint doesn't include yet."""
+        received = self.stored.get(HintKey(service=service, upstream=upstream))
+        if received is not None:
+            received.placed += 1
