--- a/burdocksill/upstreams/health.py
+++ b/burdocksill/upstreams/health.py
@@ -1,4 +1,4 @@
-"""Ask an upstream how it is; only its owner does."""
+"""Health and load reports of an upstream, polled by its owner only."""
 
 import enum
 from typing import Final, TypeVar
@@ -14,13 +14,13 @@
 HEALTH_PATH: Final = '/.well-known/burdocksill/health'
 LOAD_PATH: Final = '/.well-known/burdocksill/load'
 POLL_SECONDS: Final = 0.5
-ANSWER_SECONDS: Final = 1.0
+POLL_TIMEOUT_SECONDS: Final = 1.0
 
 Report = TypeVar('Report')
 
 
 class HealthState(enum.StrEnum):
-    """Name what an upstream says of itself."""
+    """Name the state that an upstream reports of itself."""
 
     READY = 'ready'
     COLD = 'cold'
@@ -29,7 +29,7 @@
 
 @attrs.frozen(kw_only=True)
 class HealthReport:
-    """Hold an upstream's own word on its state."""
+    """Hold an upstream's report of its state."""
 
     state: HealthState
     instance: str = ''
@@ -37,7 +37,7 @@
 
 @attrs.frozen(kw_only=True)
 class LoadReport:
-    """Hold how many requests an upstream says it can bear at once."""
+    """Hold how many concurrent requests an upstream says it can handle."""
 
     bearable: int
     busy: int = 0
@@ -48,14 +48,14 @@
     path: str,
     kind: type[Report],
 ) -> Report | None:
-    """Return one report, None when there is none that can be read.
+    """Return a report, or None when none could be read.
 
-    A report that fails to come changes nothing: whether the connection is
-    alive is for PING to find, not for an endpoint that may lag.
+    A missing report changes nothing: PING decides whether the connection
+    works, as the endpoint may be slow while the upstream is healthy.
     """
     request = UpstreamRequest(method='GET', path=path)
     try:
-        with trio.fail_after(ANSWER_SECONDS):
+        with trio.fail_after(POLL_TIMEOUT_SECONDS):
             answer = await connection.exchange(request)
     except (RequestFailedError, trio.TooSlowError):
         return None
