--- a/burdocksill/upstreams/identity.py
+++ b/burdocksill/upstreams/identity.py
@@ -1,4 +1,4 @@
-"""Who answers at an upstream's address."""
+"""Identity of the process at an upstream's address."""
 
 from typing import Final
 
@@ -14,7 +14,11 @@
 
 
 async def identify(connection: UpstreamConnection) -> Identity:
-    """Ask an upstream who it is."""
+    """Request an upstream's identity.
+
+    Raise RequestFailedError when there is none, IdentityMismatchError when it
+    cannot be read.
+    """
     answer = await connection.exchange(
         UpstreamRequest(method='GET', path=IDENTITY_PATH),
     )
