--- a/burdocksill/upstreams/messages.py
+++ b/burdocksill/upstreams/messages.py
@@ -5,7 +5,7 @@
 
 @attrs.frozen(kw_only=True)
 class UpstreamRequest:
-    """Hold a request for HTTP/2; `timeout_seconds` is what is left."""
+    """Hold an HTTP/2 request; `timeout_seconds` is the remaining time."""
 
     method: str
     path: str
@@ -13,13 +13,13 @@
     content_type: str = ''
     timeout_seconds: float = 0
     flow: str = ''
-    # For a feed: the position after which its lines are wanted.
+    # Position after which a feed's lines are requested.
     feed_after: int | None = None
 
 
 @attrs.frozen(kw_only=True)
 class UpstreamAnswer:
-    """Hold a whole answer: END_STREAM was seen."""
+    """Hold a complete answer, whose END_STREAM was received."""
 
     status: int
     payload: bytes
@@ -29,9 +29,9 @@
 
 @attrs.frozen(kw_only=True)
 class UpstreamHint:
-    """Hold what an owner tells others of one upstream; it may be stale.
+    """Hold an owner's hint on one upstream, which may be stale.
 
-    Gossip carries it; placement reads it; the owner has the last word.
+    Gossip distributes it and placement reads it; the owner decides.
     """
 
     service: str
@@ -45,7 +45,10 @@
 
 @attrs.frozen(kw_only=True)
 class Identity:
-    """Hold who an upstream says it is; a restart makes a new instance."""
+    """Hold the identity that an upstream reports.
+
+    Each start of the upstream has another `instance`.
+    """
 
     service: str
     upstream: str
