--- a/burdocksill/upstreams/goaway.py
+++ b/burdocksill/upstreams/goaway.py
@@ -1,8 +1,9 @@
-"""HTTP/2 state that lets open streams end after GOAWAY.
+"""HTTP/2 state that lets open streams finish after GOAWAY.
 
-h2 closes its whole state when a GOAWAY passes, so the answers of the streams
-that the frame promises to finish (RFC 9113, section 6.8) would be refused as
-protocol errors, and every graceful shutdown would cut requests in progress.
+h2 closes its connection state when it sends or receives GOAWAY. The answers
+of streams that the frame promises to finish (RFC 9113, section 6.8) would
+then be protocol errors, and every graceful shutdown would abort requests in
+progress.
 """
 
 from typing import Final
@@ -20,25 +21,25 @@
 
 
 class LenientStateMachine(h2.connection.H2ConnectionStateMachine):
-    """Keep the connection's state open when a GOAWAY passes."""
+    """Keep the connection's state open after GOAWAY in either direction."""
 
     def process_input(
         self,
         input_: h2.connection.ConnectionInputs,
     ) -> list[h2.events.Event]:
-        """Apply one input, GOAWAY excepted."""
+        """Apply one input, but ignore GOAWAY."""
         if input_ in GOAWAY_INPUTS:
             return []
         return super().process_input(input_)
 
 
 class LenientConnection(h2.connection.H2Connection):
-    """Carry the open streams of a connection to their end after GOAWAY."""
+    """Finish the open streams of a connection after GOAWAY."""
 
     def __init__(self, *, client_side: bool) -> None:
-        """Prepare the protocol's state."""
-        # Headers are written in lower case and in order (connection.py), so
-        # checking each again would only cost time. What arrives is checked.
+        """Initialise the HTTP/2 state."""
+        # connection.py writes headers in lower case and in order, so checking
+        # them again would only cost time. Received headers are checked.
         config = h2.config.H2Configuration(
             client_side=client_side,
             validate_outbound_headers=False,
@@ -48,4 +49,4 @@
         self.state_machine = LenientStateMachine()
 
     def clear_outbound_data_buffer(self) -> None:
-        """Keep what is queued: it belongs to streams that go on."""
+        """Keep the queued data, which belongs to streams that continue."""
