--- a/burdocksill/upstreams/exceptions.py
+++ b/burdocksill/upstreams/exceptions.py
@@ -9,22 +9,23 @@
 
 
 class IdentityMismatchError(BurdocksillError):
-    """Say that an address answers as another service or upstream."""
+    """Report that an address identifies as another service or upstream."""
 
     code = 'burdocksill.E601'
 
 
 class ConnectionLostError(BurdocksillError):
-    """Say that a connection ended before an answer was whole."""
+    """Report that a connection ended before the answer was complete."""
 
     code = 'burdocksill.E602'
 
 
 @attrs.define(kw_only=True)
 class ConnectionSilentError(RequestFailedError):
-    """End a request whose connection fell silent after it was written.
+    """Report a connection that became unresponsive after the request was sent.
 
-    The upstream was told nothing, so it may be busy with it to its deadline.
+    The request could not be cancelled, so the upstream may work on it until
+    its deadline.
     """
 
     code: ClassVar[str] = 'burdocksill.E603'
