--- a/burdocksill/callers/feeds.py
+++ b/burdocksill/callers/feeds.py
@@ -1,4 +1,4 @@
-"""A caller's feed: in order, without gaps, opened again when it must be."""
+"""Feeds of a caller: ordered notifications with automatic reopening."""
 
 import math
 from collections import deque
@@ -11,7 +11,7 @@
 
 from burdocksill.callers.exceptions import CallFailedError
 from burdocksill.callers.roundtrip import ACK_TIMEOUT_SECONDS
-from burdocksill.callers.session import Session, settle
+from burdocksill.callers.session import Session, raise_for_reason
 from burdocksill.requests.codec import encode_request
 from burdocksill.requests.feeds import (
     DEREGISTER,
@@ -23,17 +23,17 @@
 from burdocksill.requests.verdict import Reason
 
 KEEPALIVE_SECONDS: Final = 20.0
-# How long a missing notification may still be on its way.
+# How long to wait for a missing notification before registering again.
 GAP_SECONDS: Final = 0.2
-# Registrations without an answer before the feed is opened afresh.
-SILENT_REGISTRATIONS: Final = 3
-# A feed that ends for these is not opened again.
+# Unanswered registrations before the feed is opened with a new token.
+MAX_UNANSWERED: Final = 3
+# A feed that ends for one of these reasons is not reopened.
 FINAL_REASONS: Final = frozenset((Reason.FEED_REFUSED, Reason.SERVICE_UNKNOWN))
 
 
 @attrs.frozen(kw_only=True)
 class Notification:
-    """Hold one notification; `missed` counts those lost for good before."""
+    """Hold one notification; `missed` counts those lost before it."""
 
     position: int
     payload: bytes
@@ -42,13 +42,13 @@
 
 @attrs.define(kw_only=True)
 class Registration:
-    """Take the notifications that carry one token."""
+    """Queue the notifications that carry one token."""
 
     arrived: trio.Event = attrs.field(factory=trio.Event)
     answers: deque[Answer] = attrs.field(factory=deque)
 
     def take(self, answer: Answer) -> None:
-        """Queue a notification and wake the feed."""
+        """Queue a notification and wake the feed's task."""
         self.answers.append(answer)
         self.arrived.set()
 
@@ -57,8 +57,8 @@
 class Feed:
     """Keep one feed open and put its notifications in order.
 
-    A token stands for one registration and is never used for another feed,
-    so that late notifications of an ended feed match nothing.
+    Each registration has its own token, which is never reused, so that late
+    notifications of an ended feed match nothing.
     """
 
     session: Session
@@ -66,11 +66,11 @@
     output: trio.MemorySendChannel[Notification]
     position: int | None = None
     keepalive_seconds: float = KEEPALIVE_SECONDS
-    held: dict[int, bytes] = attrs.field(factory=dict)
+    buffered: dict[int, bytes] = attrs.field(factory=dict)
     missed: int = 0
     opened: int = 0
-    # When the feed registers next, and how many times nobody answered.
-    due: float = 0
+    # When the feed registers next, and registrations since the last answer.
+    register_at: float = 0
     unanswered: int = 0
     failure: CallFailedError | None = None
 
@@ -78,56 +78,59 @@
         """Keep the feed open until cancelled or refused for good."""
         async with self.output:
             while self.failure is None:
-                ended = await self.follow()
-                if ended is not None and ended.reason in FINAL_REASONS:
-                    self.fail(ended)
-                elif ended is not None and not ended.cookie:
-                    await trio.sleep(self.pause(ended))
-
-    def fail(self, ended: Answer) -> None:
-        """Keep why the feed is not opened again."""
+                final = await self.follow()
+                if final is not None and final.reason in FINAL_REASONS:
+                    self.fail(final)
+                elif final is not None and not final.cookie:
+                    await trio.sleep(self.pause_seconds(final))
+
+    def fail(self, final: Answer) -> None:
+        """Store the error of a feed that is not reopened."""
         try:
-            settle(ended)
+            raise_for_reason(final)
         except CallFailedError as failure:
             self.failure = failure
 
-    def pause(self, ended: Answer) -> float:
-        """Return how long to wait, so that not all callers come at once."""
-        longest = min(ended.max_age_seconds or 0, self.keepalive_seconds)
+    def pause_seconds(self, final: Answer) -> float:
+        """Return a random delay, so that callers don't all reopen at once."""
+        longest = min(final.max_age_seconds or 0, self.keepalive_seconds)
         return self.session.rng.uniform(0, longest)
 
     async def follow(self) -> Answer | None:
-        """Register with a token of its own; return the answer that ends it."""
+        """Follow one registration; return the answer that ends it.
+
+        Return None when registrations stay unanswered.
+        """
         self.opened += 1
-        self.held.clear()
+        self.buffered.clear()
         request = self.session.new_request('GET', self.path, b'', 0)
         registration = Registration()
         self.session.pending[request.token] = registration
-        self.due = trio.current_time()
+        self.register_at = trio.current_time()
         self.unanswered = 0
-        ended = None
+        final = None
         try:
-            ended = await self.listen(request, registration)
+            final = await self.listen(request, registration)
         finally:
             self.session.pending.pop(request.token, None)
-            if ended is None:
+            if final is None:
                 self.register(request, DEREGISTER)
-        return ended
+        return final
 
     async def listen(
         self, request: CallerRequest, registration: Registration
     ) -> Answer | None:
-        """Take notifications and register again when it is due."""
+        """Handle notifications and register again when that is due."""
         while True:
-            if trio.current_time() >= self.due:
-                if self.unanswered >= SILENT_REGISTRATIONS:
+            if trio.current_time() >= self.register_at:
+                if self.unanswered >= MAX_UNANSWERED:
                     self.session.cookie = b''
                     return None
                 self.register(request, REGISTER)
                 self.unanswered += 1
                 wait = ACK_TIMEOUT_SECONDS * self.unanswered
-                self.due = trio.current_time() + wait
-            with trio.move_on_at(self.due):
+                self.register_at = trio.current_time() + wait
+            with trio.move_on_at(self.register_at):
                 await registration.arrived.wait()
             registration.arrived = trio.Event()
             while registration.answers:
@@ -135,33 +138,33 @@
                 if answer.observe is None:
                     self.session.keep_cookie(answer)
                     return answer
-                await self.take(answer)
+                await self.handle(answer)
 
     def register(self, request: CallerRequest, observe: int) -> None:
-        """Send a registration with the newest cookie and our position."""
-        known = self.position is not None
-        etag = encode_position(self.position or 0) if known else b''
+        """Send a registration with the newest cookie and this position."""
+        has_position = self.position is not None
+        etag = encode_position(self.position or 0) if has_position else b''
         renewed = attrs.evolve(
             request, cookie=self.session.cookie, observe=observe, etag=etag
         )
         self.session.socket.send(encode_request(renewed), self.session.server)
 
-    async def take(self, answer: Answer) -> None:
-        """Take one notification or confirmation."""
+    async def handle(self, answer: Answer) -> None:
+        """Handle one notification or confirmation."""
         self.session.keep_cookie(answer)
         self.unanswered = 0
         position = decode_position(answer.etag)
         if position is None:
             return
         if answer.payload:
-            self.held.setdefault(position, answer.payload)
+            self.buffered.setdefault(position, answer.payload)
         else:
             self.confirm(position)
         await self.deliver()
 
     def confirm(self, position: int) -> None:
-        """Learn where the feed goes on; what lies before is lost for good."""
-        self.due = trio.current_time() + self.keepalive_seconds
+        """Set the position that was confirmed; earlier gaps are lost."""
+        self.register_at = trio.current_time() + self.keepalive_seconds
         if self.position is None:
             self.position = position
         elif position > self.position:
@@ -169,23 +172,26 @@
             self.position = position
 
     async def deliver(self) -> None:
-        """Hand on what follows without a gap; ask again for what lacks."""
+        """Send out what follows without a gap; schedule a request for gaps."""
         if self.position is None:
             return
-        while self.position + 1 in self.held:
+        while self.position + 1 in self.buffered:
             self.position += 1
             await self.output.send(
                 Notification(
                     position=self.position,
-                    payload=self.held.pop(self.position),
+                    payload=self.buffered.pop(self.position),
                     missed=self.missed,
                 ),
             )
             self.missed = 0
-        for old in [known for known in self.held if known <= self.position]:
-            self.held.pop(old)
-        if self.held:
-            self.due = min(self.due, trio.current_time() + GAP_SECONDS)
+        for old in [seen for seen in self.buffered if seen <= self.position]:
+            self.buffered.pop(old)
+        if self.buffered:
+            self.register_at = min(
+                self.register_at,
+                trio.current_time() + GAP_SECONDS,
+            )
 
 
 @asynccontextmanager
@@ -196,7 +202,7 @@
     after: int | None = None,
     keepalive_seconds: float = KEEPALIVE_SECONDS,
 ) -> AsyncGenerator['FeedReader', None]:
-    """Open a feed after a position, or from now on; close it at the end."""
+    """Open a feed after a position, or from now on, until the block ends."""
     output, notifications = trio.open_memory_channel[Notification](math.inf)
     feed = Feed(
         session=session,
@@ -213,7 +219,7 @@
 
 @attrs.define(kw_only=True)
 class FeedReader:
-    """Read a feed's notifications one by one."""
+    """Read the notifications of a feed."""
 
     feed: Feed
     notifications: trio.MemoryReceiveChannel[Notification]
--- a/burdocksill/callers/transfers.py
+++ b/burdocksill/callers/transfers.py
@@ -1,4 +1,4 @@
-"""Send bodies and fetch answers in blocks (RFC 7959), some at a time."""
+"""Blockwise transfer of bodies and answers (RFC 7959), in parallel."""
 
 import math
 from collections.abc import Awaitable, Callable, Iterator
@@ -11,19 +11,19 @@
 from burdocksill.requests.messages import Answer, Block, CallerRequest
 from burdocksill.requests.verdict import Reason, Verdict
 
-# RFC 9177, section 7.2 (MAX_PAYLOADS): blocks under way before a pause.
+# RFC 9177, section 7.2 (MAX_PAYLOADS).
 BLOCKS_IN_FLIGHT: Final = 10
 BLOCK_BYTES: Final = 1024
-# One with the cookie of the former address, one with that of the new.
+# One with the cookie of the old address, one with that of the new.
 ADDRESS_ATTEMPTS: Final = 2
 CONTINUE: Final = 'CONTINUE'
 
-# Sends one request until its answer arrives.
+# Sends one request, with retransmissions, until its answer arrives.
 Attempt = Callable[[CallerRequest, RoundTrip], Awaitable[Answer]]
 
 
 def answer_lost(message: str) -> Answer:
-    """Say that a request ran and the rest of its answer is gone."""
+    """Return the failure of a request that ran with an incomplete answer."""
     return Answer(
         code='REQUEST_ENTITY_INCOMPLETE',
         verdict=Verdict.RAN,
@@ -34,7 +34,7 @@
 
 @attrs.define(kw_only=True)
 class BlockTransfer:
-    """Carry out numbered requests, some at a time, until one fails."""
+    """Transfer numbered blocks, several at a time, until one fails."""
 
     attempt: Attempt
     make_request: Callable[[Block], CallerRequest]
@@ -44,26 +44,30 @@
     failure: Answer | None = None
 
     async def run(self, numbers: range) -> Answer | None:
-        """Return None when every block went through, else what failed."""
-        waiting = iter(numbers)
+        """Transfer all blocks; return the answer of one that failed."""
+        remaining = iter(numbers)
         async with trio.open_nursery() as nursery:
             for _ in range(min(BLOCKS_IN_FLIGHT, len(numbers))):
-                nursery.start_soon(self.work, waiting, nursery.cancel_scope)
+                nursery.start_soon(
+                    self.transfer_remaining,
+                    remaining,
+                    nursery.cancel_scope,
+                )
         return self.failure
 
-    async def work(
-        self, waiting: Iterator[int], scope: trio.CancelScope
+    async def transfer_remaining(
+        self, remaining: Iterator[int], scope: trio.CancelScope
     ) -> None:
-        """Carry one block after the other; the first failure ends all."""
-        for number in waiting:
-            answer = await self.carry(Block(number=number))
+        """Transfer blocks one by one; the first failure cancels the rest."""
+        for number in remaining:
+            answer = await self.transfer_one(Block(number=number))
             if answer is not None:
                 self.failure = answer
                 scope.cancel()
                 return
 
-    async def carry(self, block: Block) -> Answer | None:
-        """Carry one block; return an answer only when it failed."""
+    async def transfer_one(self, block: Block) -> Answer | None:
+        """Transfer one block; return its answer only when it failed."""
         with trio.move_on_after(self.timeout_seconds):
             for _ in range(ADDRESS_ATTEMPTS):
                 request = self.make_request(block)
@@ -83,11 +87,11 @@
 
 @attrs.define(kw_only=True)
 class AnswerFetch:
-    """Fetch the later blocks of one answer and put them together.
+    """Fetch the later blocks of one answer and reassemble it.
 
-    Every block names the first one's ETag, so that no other answer's block
-    can get in between, and the cookie that the request itself carried: it
-    leads to the VM that keeps the answer.
+    Every request names the first block's ETag, so that blocks of different
+    answers are not mixed. It carries the cookie of the original request,
+    which leads to the VM that stores the answer.
     """
 
     request: CallerRequest
@@ -96,12 +100,12 @@
     blocks: dict[int, bytes] = attrs.field(factory=dict)
 
     def numbers(self) -> range:
-        """Return the numbers of the blocks that are missing."""
+        """Return the numbers of the blocks after the first."""
         size = self.first.size2 or len(self.first.payload)
         return range(1, math.ceil(size / BLOCK_BYTES))
 
     def make_request(self, block: Block) -> CallerRequest:
-        """Ask for one block of this answer."""
+        """Return the request for one block of this answer."""
         return attrs.evolve(
             self.new_token(self.request),
             payload=b'',
@@ -111,7 +115,7 @@
         )
 
     def accept(self, block: Block, answer: Answer) -> bool:
-        """Take a block of this answer."""
+        """Store a block; return False when it is not of this answer."""
         if answer.reason is Reason.ADDRESS_CHANGED and answer.cookie:
             self.request = attrs.evolve(self.request, cookie=answer.cookie)
         if answer.reason is not None or answer.etag != self.first.etag:
@@ -121,8 +125,8 @@
         self.blocks[block.number] = answer.payload
         return True
 
-    def whole(self) -> Answer:
-        """Return the answer with all its bytes."""
+    def assemble(self) -> Answer:
+        """Return the complete answer, or a failure when bytes are missing."""
         parts = [self.blocks[number] for number in self.numbers()]
         payload = b''.join((self.first.payload, *parts))
         if self.first.size2 not in {None, len(payload)}:
@@ -132,7 +136,7 @@
 
 @attrs.define(kw_only=True)
 class BodySend:
-    """Send all blocks of a body but the last, which is the request itself."""
+    """Make the requests that send a body; the last block is the request."""
 
     request: CallerRequest
     new_token: Callable[[CallerRequest], CallerRequest]
@@ -143,7 +147,7 @@
         return (len(self.request.payload) - 1) // BLOCK_BYTES
 
     def make_request(self, block: Block) -> CallerRequest:
-        """Send one block that others follow."""
+        """Return the request that sends one block before the last."""
         return attrs.evolve(
             self.new_token(self.request),
             payload=self.slice(block),
@@ -152,7 +156,7 @@
         )
 
     def accept(self, block: Block, answer: Answer) -> bool:
-        """Go on when the owner has taken the block."""
+        """Return True when the owner has accepted the block."""
         return answer.code == CONTINUE
 
     def final_request(self) -> CallerRequest:
