--- a/burdocksill/callers/script.py
+++ b/burdocksill/callers/script.py
@@ -1,4 +1,4 @@
-"""What a command line or a script asks for, one call a line."""
+"""Calls of a command line or a script, one per line."""
 
 from collections.abc import Iterable, Iterator
 from typing import Final
@@ -16,7 +16,7 @@
 
 @attrs.frozen(kw_only=True)
 class Call:
-    """Hold one request as it was asked for."""
+    """Hold one request of a command line or script."""
 
     method: str
     path: tuple[str, ...]
@@ -24,14 +24,14 @@
 
     @property
     def text(self) -> str:
-        """Write the call as people do."""
+        """Return the call as text: method and path."""
         return f'{self.method} /{"/".join(self.path)}'
 
 
 def make_call(method: str, path: str, payload: str = '') -> Call:
-    """Make a call; refuse a method that CoAP does not have."""
-    known = {name.lower(): name for name in METHODS}
-    name = known.get(method.lower())
+    """Make a call; raise ScriptInvalidError for an unknown CoAP method."""
+    by_lower_name = {name.lower(): name for name in METHODS}
+    name = by_lower_name.get(method.lower())
     if name is None:
         raise ScriptInvalidError(
             message=f'the method is {method!r}',
@@ -45,7 +45,10 @@
 
 
 def read_script(lines: Iterable[str]) -> Iterator[Call]:
-    """Read lines of method, path and payload; skip empty ones and comments."""
+    """Parse lines of method, path and payload; skip blanks and comments.
+
+    Raise ScriptInvalidError for a line that cannot be parsed.
+    """
     for number, line in enumerate(lines, start=1):
         text = line.strip()
         if not text or text.startswith(COMMENT):
