--- a/burdocksill/callers/display.py
+++ b/burdocksill/callers/display.py
@@ -1,4 +1,4 @@
-"""Show what became of a call, for people or for scripts."""
+"""Output of a call's outcome, as text or as JSON."""
 
 import json
 
@@ -14,7 +14,7 @@
 
 @attrs.frozen(kw_only=True)
 class CallReport:
-    """Hold what became of one call; scripts rely on these names."""
+    """Hold the outcome of one call; the field names are its JSON keys."""
 
     call: str
     code: str
@@ -23,13 +23,13 @@
     payload: str = ''
     retry_after_seconds: float = 0
     hops: tuple[str, ...] = ()
-    # In hex, as `burdocksill explain` takes them.
+    # Hexadecimal, as `burdocksill explain` accepts them.
     cookie: str = ''
     flow: str = ''
 
 
 def answered(call: Call, answer: Answer, cookie: bytes) -> CallReport:
-    """Report a whole answer."""
+    """Return the report of a complete answer."""
     return CallReport(
         call=call.text,
         code=answer.code,
@@ -42,7 +42,7 @@
 
 
 def failed(call: Call, error: CallFailedError, cookie: bytes) -> CallReport:
-    """Report why a call failed and whether it may have run."""
+    """Return the report of a failed call."""
     return CallReport(
         call=call.text,
         code=error.code,
@@ -57,7 +57,7 @@
 
 
 def show(report: CallReport, *, as_json: bool) -> None:
-    """Print a report: one line of JSON, or a few for people."""
+    """Print a report as one line of JSON or as text."""
     if as_json:
         click.echo(json.dumps(attrs.asdict(report)))
     elif report.reason:
@@ -68,7 +68,7 @@
 
 
 def show_notification(notification: Notification, *, as_json: bool) -> None:
-    """Print one notification; those lost for good before it are counted."""
+    """Print one notification and how many before it were lost."""
     text = notification.payload.decode(errors='replace')
     if as_json:
         line = {
@@ -84,7 +84,7 @@
 
 
 def show_failure(report: CallReport) -> None:
-    """Print a failure, its verdict and when to come back."""
+    """Print a failure with its verdict and retry-after time."""
     click.echo(
         f'{report.code}: {report.call}: {report.reason} ({report.verdict})',
         err=True,
