--- a/burdocksill/callers/main.py
+++ b/burdocksill/callers/main.py
@@ -1,4 +1,4 @@
-"""The program burdocksill-call: a session of requests and what came of them."""
+"""The program burdocksill-call: send requests or follow a feed."""
 
 import math
 import sys
@@ -44,14 +44,14 @@
 
 @attrs.frozen(kw_only=True)
 class Plan:
-    """Hold what the command line asks for."""
+    """Hold the validated command line."""
 
     service: str
     server: Address
     calls: tuple[Call, ...]
     timeout_seconds: float
     as_json: bool
-    # How many notifications of a feed to show, and after which position.
+    # How many notifications of a feed to print, and after which position.
     count: float
     after: int | None
 
@@ -73,7 +73,7 @@
     as_json: bool
 
     def plan(self) -> Plan:
-        """Read everything before anything is sent."""
+        """Validate the command line and script before anything is sent."""
         calls = self.calls()
         if not calls:
             raise ScriptInvalidError(
@@ -154,7 +154,7 @@
 
 
 async def follow_feed(plan: Plan) -> int:
-    """Show a feed's notifications and return the exit code."""
+    """Print a feed's notifications and return the exit code."""
     call = plan.calls[0]
     async with (
         open_session(
@@ -165,8 +165,8 @@
         ) as session,
         open_feed(session, call.path, after=plan.after) as reader,
     ):
-        seen = 0
-        while seen < plan.count:
+        shown = 0
+        while shown < plan.count:
             try:
                 notification = await reader.receive()
             except CallFailedError as error:
@@ -174,7 +174,7 @@
                 show(report, as_json=plan.as_json)
                 return EXIT_CODES[error.verdict]
             show_notification(notification, as_json=plan.as_json)
-            seen += 1
+            shown += 1
     return EXIT_DONE
 
 
@@ -194,7 +194,7 @@
 
 
 async def send(session: Session, call: Call, plan: Plan) -> int:
-    """Send one call, show what came of it and return its exit code."""
+    """Send one call, print its outcome and return the exit code."""
     try:
         answer = await session.request(
             call.method,
