--- a/burdocksill/callers/__init__.py
+++ b/burdocksill/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Caller library and the program built on it."""
+"""Caller library and the program burdocksill-call."""
--- a/burdocksill/callers/exceptions.py
+++ b/burdocksill/callers/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors that a caller sees."""
+"""Errors of the caller library."""
 
 from typing import ClassVar
 
@@ -10,7 +10,7 @@
 
 @attrs.define(kw_only=True)
 class CallFailedError(BurdocksillError):
-    """End a call with a verdict, a reason and a time to come back."""
+    """Report a failed call with its verdict, reason and retry-after time."""
 
     code: ClassVar[str] = 'burdocksill.E701'
 
@@ -23,6 +23,6 @@
 
 
 class ScriptInvalidError(BurdocksillError):
-    """Say which call of a command line or script cannot be read."""
+    """Report a call of the command line or a script that is not valid."""
 
     code = 'burdocksill.E702'
