--- a/tests/steps/callers_script.py
+++ b/tests/steps/callers_script.py
@@ -9,32 +9,32 @@
 from burdocksill.callers.script import Call, read_script
 
 
-def calls_of(script: str) -> list[Call]:
-    """Read a script whose lines are written with # between them."""
+def parse_lines(script: str) -> list[Call]:
+    """Parse a script whose lines are separated by #."""
     return list(read_script(script.split('#')))
 
 
 @then('the call script "{script}" has the calls "{calls}"')
 def check_calls(context: Context, script: str, calls: str) -> None:
-    """Compare in order."""
-    found = ', '.join(call.text for call in calls_of(script))
+    """Compare the calls in order."""
+    found = ', '.join(call.text for call in parse_lines(script))
     assert found == calls, found
 
 
 @then('the call script "{script}" fails with "{message}"')
 def check_failure(context: Context, script: str, message: str) -> None:
-    """Expect the error with its cure."""
+    """Expect an error with a hint."""
     try:
-        calls_of(script)
+        parse_lines(script)
     except ScriptInvalidError as error:
         assert message in error.message, error.message
         assert error.hint
     else:
-        raise AssertionError('it was read')
+        raise AssertionError('the script was parsed')
 
 
-@then('burdocksill-call with "{arguments}" ends with {code:d}')
+@then('burdocksill-call with "{arguments}" exits with {code:d}')
 def check_program(context: Context, arguments: str, code: int) -> None:
-    """Run the program in this process."""
-    ended = CliRunner().invoke(main, arguments.split())
-    assert ended.exit_code == code, (ended.exit_code, ended.output)
+    """Run the program in this process and check its exit code."""
+    outcome = CliRunner().invoke(main, arguments.split())
+    assert outcome.exit_code == code, (outcome.exit_code, outcome.output)
