--- a/tests/callers/session_end.feature
+++ b/tests/callers/session_end.feature
@@ -1,8 +1,8 @@
 Feature: The end of a session
-  A caller ends its session at the moment at which a last datagram arrives.
-  Its receiver was woken already and read from a socket that was closed; the
-  program ended with a traceback after it had printed everything.
+  A datagram arrives while a session is closed. The receiver had already been
+  woken and read from a closed socket, so the program ended with a traceback
+  after it had printed its output.
 
-  Scenario: A datagram that arrives with the end of a session is dropped
-    When 60 sessions end, each while a datagram arrives
-    Then all sessions that ended so ended quietly
+  Scenario: A datagram that arrives while a session is closed is dropped
+    When 60 sessions are closed, each while a datagram arrives
+    Then all these sessions were closed without an error
--- a/tests/steps/callers_session_end.py
+++ b/tests/steps/callers_session_end.py
@@ -13,8 +13,8 @@
 from burdocksill.network.sockets import SocketNetwork
 
 
-async def end_with_datagram(sender: socket.socket) -> None:
-    """End a session while its receiver wakes up for a datagram."""
+async def close_with_datagram(sender: socket.socket) -> None:
+    """Close a session while its receiver is being woken by a datagram."""
     server = Address('127.0.0.1', sender.getsockname()[1])
     async with open_session(
         service='kiosk-ledger',
@@ -27,23 +27,23 @@
         await trio.lowlevel.checkpoint()
 
 
-@when('{count:d} sessions end, each while a datagram arrives')
-def end_sessions(context: Context, count: int) -> None:
-    """Try until both orders of the two tasks have come up."""
+@when('{count:d} sessions are closed, each while a datagram arrives')
+def close_sessions(context: Context, count: int) -> None:
+    """Close enough sessions that both orders of the two tasks occur."""
 
-    async def story() -> None:
+    async def script() -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
             sender.bind(('127.0.0.1', 0))
             for _ in range(count):
-                await end_with_datagram(sender)
-                context.quiet_ends += 1
+                await close_with_datagram(sender)
+                context.closed_without_error += 1
 
-    context.quiet_ends = 0
-    context.ends = count
-    trio.run(story)
+    context.closed_without_error = 0
+    context.sessions = count
+    trio.run(script)
 
 
-@then('all sessions that ended so ended quietly')
-def check_quiet(context: Context) -> None:
+@then('all these sessions were closed without an error')
+def check_no_error(context: Context) -> None:
     """Check that no session raised."""
-    assert context.quiet_ends == context.ends
+    assert context.closed_without_error == context.sessions
