--- a/burdocksill/admin/app.py
+++ b/burdocksill/admin/app.py
@@ -1,6 +1,6 @@
-"""The admin interface of one VM: a small ASGI application.
+"""Read-only admin interface of one VM, as an ASGI application.
 
-It has no login and writes nothing; it is bound to an internal address.
+It has no authentication, so it has to be bound to an internal address.
 """
 
 from collections.abc import Awaitable, Callable
@@ -19,9 +19,9 @@
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.network.exceptions import AddressUnavailableError
 
-Body = dict[str, Any]
-Receive = Callable[[], Awaitable[Body]]
-Send = Callable[[Body], Awaitable[None]]
+Message = dict[str, Any]
+Receive = Callable[[], Awaitable[Message]]
+Send = Callable[[Message], Awaitable[None]]
 
 HTTP_OK: Final = 200
 HTTP_BAD_REQUEST: Final = 400
@@ -32,53 +32,57 @@
 
 
 @attrs.frozen(kw_only=True)
-class Page:
-    """Hold one HTTP answer."""
+class Response:
+    """Hold one HTTP response."""
 
     status: int
     payload: bytes
     media_type: bytes = JSON_TYPE
 
 
-def json_page(told: object, *, status: int = HTTP_OK) -> Page:
-    """Write a typed message as JSON."""
-    return Page(status=status, payload=msgspec.json.encode(told))
+def json_response(content: object, *, status: int = HTTP_OK) -> Response:
+    """Return a response that holds a typed message as JSON."""
+    return Response(status=status, payload=msgspec.json.encode(content))
 
 
 @attrs.define(kw_only=True)
 class AdminApp:
-    """Answer operators about one node."""
+    """Serve the state of one node to operators."""
 
     node: EntryNode
 
-    async def __call__(self, scope: Body, receive: Receive, send: Send) -> None:
+    async def __call__(
+        self, scope: Message, receive: Receive, send: Send
+    ) -> None:
         """Serve one HTTP request (ASGI)."""
         if scope['type'] == 'lifespan':
-            await live(receive, send)
+            await handle_lifespan(receive, send)
             return
         try:
-            page = self.page(scope['path'], scope['query_string'].decode())
+            response = self.response(
+                scope['path'], scope['query_string'].decode()
+            )
         except BurdocksillError as error:
             problem = Problem(
                 code=error.code,
                 message=error.message,
                 hint=error.hint,
             )
-            page = json_page(problem, status=HTTP_BAD_REQUEST)
-        await respond(send, page)
+            response = json_response(problem, status=HTTP_BAD_REQUEST)
+        await send_response(send, response)
 
-    def page(self, path: str, query: str) -> Page:
-        """Return the page of a path."""
+    def response(self, path: str, query: str) -> Response:
+        """Return the response for a path."""
         match path:
             case '/health':
                 return self.health()
             case '/status':
-                return json_page(node_status(self.node))
+                return json_response(node_status(self.node))
             case '/explain':
-                return json_page(explain(self.node, read_query(query)))
+                return json_response(explain(self.node, read_query(query)))
             case '/metrics':
                 text = self.node.counters.render()
-                return Page(
+                return Response(
                     status=HTTP_OK,
                     payload=text.encode(),
                     media_type=METRICS_TYPE,
@@ -86,36 +90,36 @@
         problem = Problem(
             code='burdocksill.E105',
             message=f'there is no page {path}',
-            hint='ask for /health, /status, /explain or /metrics',
+            hint='request /health, /status, /explain or /metrics',
         )
-        return json_page(problem, status=HTTP_NOT_FOUND)
+        return json_response(problem, status=HTTP_NOT_FOUND)
 
-    def health(self) -> Page:
-        """Say whether callers are served; a starting VM answers 503."""
+    def health(self) -> Response:
+        """Return whether callers are served; 503 while the VM starts."""
         serving = self.node.serving.is_set()
-        return json_page(
+        return json_response(
             Health(serving=serving),
             status=HTTP_OK if serving else HTTP_UNAVAILABLE,
         )
 
 
 def read_query(query: str) -> ExplainQuery:
-    """Read the query of an explanation; unknown fields are ignored."""
+    """Parse the query string of /explain; ignore unknown fields."""
     fields = parse_qs(query)
     return ExplainQuery(
-        flow=first(fields, 'flow'),
+        flow=first_value(fields, 'flow'),
         tokens=tuple(fields.get('token', ())),
-        cookie=first(fields, 'cookie'),
+        cookie=first_value(fields, 'cookie'),
     )
 
 
-def first(fields: dict[str, list[str]], name: str) -> str:
-    """Return the first value of a field, empty without one."""
+def first_value(fields: dict[str, list[str]], name: str) -> str:
+    """Return the first value of a field, or an empty string."""
     return fields.get(name, [''])[0]
 
 
-async def live(receive: Receive, send: Send) -> None:
-    """Follow the server's start and stop (ASGI lifespan)."""
+async def handle_lifespan(receive: Receive, send: Send) -> None:
+    """Confirm the server's start and stop (ASGI lifespan)."""
     while True:
         message = await receive()
         await send({'type': f'{message["type"]}.complete'})
@@ -123,24 +127,27 @@
             return
 
 
-async def respond(send: Send, page: Page) -> None:
-    """Send one whole answer."""
+async def send_response(send: Send, response: Response) -> None:
+    """Send one response."""
     headers = [
-        (b'content-type', page.media_type),
-        (b'content-length', str(len(page.payload)).encode()),
+        (b'content-type', response.media_type),
+        (b'content-length', str(len(response.payload)).encode()),
     ]
     await send(
         {
             'type': 'http.response.start',
-            'status': page.status,
+            'status': response.status,
             'headers': headers,
         },
     )
-    await send({'type': 'http.response.body', 'body': page.payload})
+    await send({'type': 'http.response.body', 'body': response.payload})
 
 
 async def serve_admin(node: EntryNode) -> None:
-    """Serve a node's admin interface until cancelled."""
+    """Serve a node's admin interface until cancelled.
+
+    Raise AddressUnavailableError when the address cannot be bound.
+    """
     config = Config()
     config.bind = [str(node.settings.admin)]
     config.loglevel = 'WARNING'
@@ -150,5 +157,5 @@
         cause = group.exceptions[0]
         raise AddressUnavailableError(
             message=f'{node.settings.admin} cannot be bound: {cause}',
-            hint='give an address of this VM that no process holds',
+            hint='give an address of this VM that no other process uses',
         ) from group
--- a/burdocksill/admin/explain.py
+++ b/burdocksill/admin/explain.py
@@ -1,4 +1,4 @@
-"""Say why a request or a flow went where it went."""
+"""Explanations of how a VM routed a request or a flow."""
 
 import attrs
 
@@ -12,40 +12,40 @@
 
 @attrs.frozen(kw_only=True)
 class ExplainQuery:
-    """Name a flow or a request, by what the operator has of it in hex."""
+    """Identify a flow or a request by hexadecimal id, cookie or tokens."""
 
     flow: str = ''
     cookie: str = ''
     tokens: tuple[str, ...] = ()
 
-    def require(self) -> None:
-        """Refuse a query that names nothing, or not in hex."""
+    def validate(self) -> None:
+        """Raise QueryInvalidError for a query that is empty or not hex."""
         for text in (self.flow, self.cookie, *self.tokens):
             try:
                 bytes.fromhex(text)
             except ValueError as error:
                 raise QueryInvalidError(
                     message=f'{text!r} is not hexadecimal',
-                    hint='write the bytes in hex, as burdocksill-call does',
+                    hint='write it as burdocksill-call prints it',
                 ) from error
         if not (self.flow or self.cookie or any(self.tokens)):
             raise QueryInvalidError(
-                message='nothing to explain was named',
+                message='the query has no flow id, token or cookie',
                 hint='give a flow id, a token or a cookie',
             )
 
 
 @attrs.frozen(kw_only=True)
 class OpenedCookie:
-    """Hold a cookie with the service that it was signed for."""
+    """Hold a cookie and the service that it was signed for."""
 
     service: str
     cookie: Cookie
 
 
 def explain(node: EntryNode, query: ExplainQuery) -> Explanation:
-    """Return what this VM remembers; raise QueryInvalidError."""
-    query.require()
+    """Return this VM's recorded decisions, or raise QueryInvalidError."""
+    query.validate()
     opened = open_cookie(node, bytes.fromhex(query.cookie))
     flow = opened.cookie.flow_id if opened else bytes.fromhex(query.flow)
     decisions: list[Decision] = []
@@ -56,12 +56,12 @@
     return Explanation(
         node=name,
         cookie=cookie_line(node, opened) if opened else None,
-        decisions=tuple(decision_line(name, kept) for kept in decisions),
+        decisions=tuple(decision_line(name, each) for each in decisions),
     )
 
 
 def open_cookie(node: EntryNode, sealed: bytes) -> OpenedCookie | None:
-    """Open a cookie with the service that it fits; None when it fits none."""
+    """Return a verified cookie with its service, None when none matches."""
     sealer = SignedCookieSealer(keys=node.keys, clock=node.clock)
     for service in node.store.services if sealed else ():
         try:
@@ -73,7 +73,7 @@
 
 
 def cookie_line(node: EntryNode, opened: OpenedCookie) -> CookieLine:
-    """Write a cookie with the names that its tags stand for."""
+    """Return a cookie with the names behind its tags."""
     cookie = opened.cookie
     owner = node.membership.find(cookie.owner_tag)
     return CookieLine(
@@ -97,7 +97,7 @@
 
 
 def decision_line(node: str, decision: Decision) -> DecisionLine:
-    """Write one decision as text."""
+    """Return one decision in its printable form."""
     return DecisionLine(
         at=decision.at,
         node=node,
--- a/burdocksill/management/commands/document.py
+++ b/burdocksill/management/commands/document.py
@@ -18,7 +18,7 @@
 from burdocksill.documents.schema import parse_document
 from burdocksill.management.commands.check import report
 from burdocksill.management.exits import Exit
-from burdocksill.management.force import InForce, wait_in_force
+from burdocksill.management.in_force import InForce, wait_in_force
 from burdocksill.management.running import (
     echo_json,
     json_option,
@@ -53,7 +53,7 @@
 
 @attrs.frozen(kw_only=True)
 class PutOutcome:
-    """Hold what became of an edit."""
+    """Hold the result of an edit."""
 
     accepted: AcceptedEdit
     in_force: InForce | None = None
@@ -96,9 +96,9 @@
         accepted = await put_document(
             platform,
             parsed,
-            expected_revision=revision_of(text) if expect is None else expect,
+            expected_revision=revision_in(text) if expect is None else expect,
         )
-        return await follow_up(
+        return await wait_if_requested(
             target,
             parsed.service,
             accepted,
@@ -108,47 +108,47 @@
     finish(run_command(target, write), as_json=as_json)
 
 
-async def follow_up(
+async def wait_if_requested(
     target: Target,
     service: str,
     accepted: AcceptedEdit,
     wait_seconds: float,
 ) -> PutOutcome:
-    """Wait for an edit to be in force everywhere, if that was asked for."""
+    """Wait until an edit is in force on every VM, if --wait was given."""
     if not wait_seconds:
         return PutOutcome(accepted=accepted)
-    seen = await wait_in_force(
+    in_force = await wait_in_force(
         target,
         document_key(service),
         accepted.revision,
         seconds=wait_seconds,
     )
-    return PutOutcome(accepted=accepted, in_force=seen)
+    return PutOutcome(accepted=accepted, in_force=in_force)
 
 
 def finish(outcome: PutOutcome, *, as_json: bool) -> None:
-    """Print what became of an edit and end with its exit code."""
-    seen = outcome.in_force
+    """Print the result of an edit and exit with its code."""
+    result = outcome.in_force
     if as_json:
         echo_json(outcome)
     else:
         click.echo(f'accepted at revision {outcome.accepted.revision}')
-        if seen is not None:
-            show_in_force(seen)
-    if seen is not None and seen.not_on:
+        if result is not None:
+            print_in_force(result)
+    if result is not None and result.not_on:
         sys.exit(Exit.NOT_EVERYWHERE)
 
 
-def show_in_force(seen: InForce) -> None:
+def print_in_force(in_force: InForce) -> None:
     """Print on which VMs an edit is in force and on which it is not."""
-    total = len(seen.on) + len(seen.not_on)
-    click.echo(f'in force on {len(seen.on)} of {total} VMs')
-    for name in seen.not_on:
+    total = len(in_force.on) + len(in_force.not_on)
+    click.echo(f'in force on {len(in_force.on)} of {total} VMs')
+    for name in in_force.not_on:
         click.echo(f'not yet on {name}')
 
 
-def revision_of(text: str) -> int | None:
-    """Return the revision that `document get` wrote into a file."""
+def revision_in(text: str) -> int | None:
+    """Return the revision that `document get` wrote into a text, if any."""
     found = REVISION_LINE.search(text)
     return int(found.group(1)) if found else None
 
@@ -179,7 +179,7 @@
             service,
             expected_revision=expect,
         )
-        return await follow_up(target, service, accepted, wait_seconds)
+        return await wait_if_requested(target, service, accepted, wait_seconds)
 
     finish(run_command(target, write), as_json=as_json)
 
@@ -244,12 +244,12 @@
 @pass_target
 def history(target: Target, service: str, *, as_json: bool) -> None:
     """Show the revisions of a document that the platform still has."""
-    told = run_command(target, lambda store: document_history(store, service))
+    past = run_command(target, lambda store: document_history(store, service))
     if as_json:
-        echo_json(told)
+        echo_json(past)
         return
-    if not told.complete:
+    if not past.complete:
         click.echo('the platform has compacted the earlier revisions')
-    for entry in told.entries:
+    for entry in past.entries:
         click.echo(f'revision {entry.revision}, edit {entry.edit_id}')
         click.echo(entry.changes)
--- a/burdocksill/management/commands/domain.py
+++ b/burdocksill/management/commands/domain.py
@@ -11,7 +11,7 @@
     wait_option,
 )
 from burdocksill.management.domains import list_domains
-from burdocksill.management.force import wait_in_force
+from burdocksill.management.in_force import wait_in_force
 from burdocksill.management.running import (
     echo_json,
     json_option,
@@ -31,7 +31,7 @@
 
 @attrs.frozen(kw_only=True)
 class DomainEdit:
-    """Hold an operator's word on a failure domain and how long to wait."""
+    """Hold a new state of a failure domain and the command's options."""
 
     domain: str
     state: DomainState
@@ -83,7 +83,7 @@
 @wait_option
 @json_option
 @pass_target
-def bring_back(
+def return_domain(
     target: Target,
     name: str,
     reason: str,
@@ -109,7 +109,7 @@
 
 
 def change(target: Target, edit: DomainEdit) -> None:
-    """Write a failure domain's state and say under which revision."""
+    """Write a failure domain's state and print the revision."""
 
     async def write(platform: Platform) -> PutOutcome:
         accepted = await set_domain(
@@ -120,13 +120,13 @@
         )
         if not edit.wait_seconds:
             return PutOutcome(accepted=accepted)
-        seen = await wait_in_force(
+        in_force = await wait_in_force(
             target,
             domain_key(edit.domain),
             accepted.revision,
             seconds=edit.wait_seconds,
         )
-        return PutOutcome(accepted=accepted, in_force=seen)
+        return PutOutcome(accepted=accepted, in_force=in_force)
 
     outcome = run_command(target, write)
     if not edit.as_json:
--- a/burdocksill/management/commands/explain.py
+++ b/burdocksill/management/commands/explain.py
@@ -18,13 +18,13 @@
 )
 from burdocksill.management.target import Target
 
-# The requests of one flow that one explanation goes into, the latest ones.
-TOKENS_AT_ONCE: Final = 64
+# How many of a flow's latest requests one explanation covers.
+MAX_TOKENS: Final = 64
 
 
 @attrs.frozen(kw_only=True)
 class FleetExplanation:
-    """Hold what the VMs that answered remember, in the order of time."""
+    """Hold the decisions of the VMs that answered, ordered by time."""
 
     cookie: CookieLine | None
     decisions: tuple[DecisionLine, ...]
@@ -56,32 +56,35 @@
         cookie=cookie,
         tokens=(token,) if token else (),
     )
-    told = run_async(lambda: ask(target, query))
+    explanation = run_async(lambda: explain_fleet(target, query))
     if as_json:
-        echo_json(told)
+        echo_json(explanation)
     else:
-        show(told)
-    if told.cookie is None and not told.decisions:
+        show(explanation)
+    if explanation.cookie is None and not explanation.decisions:
         sys.exit(Exit.FAILED)
 
 
-async def ask(target: Target, query: ExplainQuery) -> FleetExplanation:
-    """Ask every VM that can be found and put the answers in order.
+async def explain_fleet(
+    target: Target,
+    query: ExplainQuery,
+) -> FleetExplanation:
+    """Query every VM that can be found and merge the answers.
 
-    The VM that placed a flow did not know its id yet, so a second round asks
-    for the tokens that the first has found.
+    The VM that placed a flow recorded the decision before the flow had an id.
+    So a second round queries the tokens that the first one found.
     """
-    query.require()
+    query.validate()
     fleet = await target.fleet()
-    told = await target.admin.explain_all(fleet.addresses, query)
-    cookies = [part.cookie for part in told if part.cookie]
-    tokens = latest_tokens(told)
+    answers = await target.admin.explain_all(fleet.addresses, query)
+    cookies = [part.cookie for part in answers if part.cookie]
+    tokens = latest_tokens(answers)
     if tokens:
-        told = await target.admin.explain_all(
+        answers = await target.admin.explain_all(
             fleet.addresses,
             ExplainQuery(tokens=tokens),
         )
-    decisions = [line for part in told for line in part.decisions]
+    decisions = [line for part in answers for line in part.decisions]
     return FleetExplanation(
         cookie=cookies[0] if cookies else None,
         decisions=tuple(sorted(decisions, key=lambda line: line.at)),
@@ -89,28 +92,28 @@
     )
 
 
-def latest_tokens(told: tuple[Explanation, ...]) -> tuple[str, ...]:
-    """Return the tokens of the latest requests, as many as one call takes."""
-    lines = [line for part in told for line in part.decisions]
+def latest_tokens(answers: tuple[Explanation, ...]) -> tuple[str, ...]:
+    """Return the tokens of the latest requests, at most MAX_TOKENS."""
+    lines = [line for part in answers for line in part.decisions]
     lines.sort(key=lambda line: line.at)
     tokens = dict.fromkeys(line.token for line in reversed(lines))
-    return tuple(tokens)[:TOKENS_AT_ONCE]
+    return tuple(tokens)[:MAX_TOKENS]
 
 
-def show(told: FleetExplanation) -> None:
-    """Print an explanation, one decision a line."""
-    if told.cookie is not None:
-        show_cookie(told.cookie)
-    for line in told.decisions:
+def show(explanation: FleetExplanation) -> None:
+    """Print an explanation, one decision per line."""
+    if explanation.cookie is not None:
+        show_cookie(explanation.cookie)
+    for line in explanation.decisions:
         click.echo(decision_text(line))
-    if not told.decisions:
+    if not explanation.decisions:
         click.echo('no VM that answered remembers a decision about it')
-    for name in told.silent:
+    for name in explanation.silent:
         click.echo(f'!! {name} does not answer; what it knows is missing')
 
 
 def show_cookie(cookie: CookieLine) -> None:
-    """Print what a cookie says."""
+    """Print the content of a cookie."""
     click.echo(
         f'cookie of {cookie.service}: flow {cookie.flow} at '
         f'{cookie.upstream}, owner {cookie.owner}, epoch {cookie.epoch}, '
@@ -119,7 +122,7 @@
 
 
 def decision_text(line: DecisionLine) -> str:
-    """Write one decision."""
+    """Return one decision as a line of text."""
     clock = datetime.fromtimestamp(line.at, UTC).strftime('%H:%M:%S.%f')
     parts = [clock, line.node, line.step, f'token {line.token}']
     if line.flow:
--- a/burdocksill/management/force.py
+++ b/burdocksill/management/in_force.py
@@ -1,4 +1,4 @@
-"""Wait until a record is in force on every VM, and name where it is not."""
+"""Waiting until a record is in force on every VM."""
 
 from typing import Final
 
@@ -12,7 +12,7 @@
 
 @attrs.frozen(kw_only=True)
 class InForce:
-    """Hold where a record is in force at a revision or a later one."""
+    """Hold on which VMs a record is in force, at a revision or a later one."""
 
     key: str
     revision: int
@@ -20,8 +20,8 @@
     not_on: tuple[str, ...] = ()
 
 
-async def look(target: Target, key: str, revision: int) -> InForce:
-    """Ask every VM once; one that does not answer counts as "not on"."""
+async def check_in_force(target: Target, key: str, revision: int) -> InForce:
+    """Query every VM once; one that does not answer counts as "not on"."""
     fleet = await target.fleet()
     ahead = tuple(
         node.name for node in fleet.nodes if node.revision(key) >= revision
@@ -44,10 +44,10 @@
     *,
     seconds: float,
 ) -> InForce:
-    """Ask until every VM has it in force or the time is over."""
+    """Poll until a record is in force on every VM or the time has passed."""
     deadline = trio.current_time() + seconds
     while True:
-        seen = await look(target, key, revision)
-        if not seen.not_on or trio.current_time() >= deadline:
-            return seen
+        in_force = await check_in_force(target, key, revision)
+        if not in_force.not_on or trio.current_time() >= deadline:
+            return in_force
         await trio.sleep(POLL_SECONDS)
--- a/tests/admin/status.feature
+++ b/tests/admin/status.feature
@@ -1,9 +1,9 @@
 Feature: Status and explanations from any entry VM
-  An operator is woken at night. The platform is down, one VM is dead, and a
-  kiosk says that its count was refused. One command on any VM that is left
-  must show the fleet and say why; it cannot ask the platform.
+  While the platform is down and one VM is dead, any remaining VM must be
+  enough to show the state of the fleet and to explain why a request was
+  refused.
 
-  Scenario: Status finds every VM from one of them, with the platform down
+  Scenario: Status finds every VM from one of them while the platform is down
     Given a watched fleet of three entry VMs and three upstreams
     When the platform goes down and the VM in "cz-c" dies
     And status is asked of the VM in "cz-b"
@@ -17,13 +17,13 @@
       | ok kiosk-ledger/ledger-1 in cz-a       |
       | REFUSED IN THE LAST MINUTE  none       |
 
-  Scenario: A flow is explained by its cookie over all VMs
+  Scenario: A flow is explained by its cookie from all VMs' decisions
     Given a watched fleet of three entry VMs and three upstreams
     When a watched caller sends 3 requests
     And its cookie is explained
     Then the explanation names upstream "ledger-1" and owner "cz-a-entry-1"
-    And the explanation tells of 3 answers that ran
-    And the explanation begins with where the flow was placed
+    And the explanation has 3 answers that ran
+    And the explanation begins with the placement of the flow
 
   Scenario: A refused request is explained and counted with its reason
     Given a watched fleet of three entry VMs and three upstreams
@@ -32,20 +32,20 @@
     Then status counts a refusal "service-unknown"
     And no metric names the unknown service
 
-  Scenario: A query that names nothing is refused with its cure
+  Scenario: An invalid query is refused with a hint
     Given a watched fleet of three entry VMs and three upstreams
     Then explaining "xyz" fails with "burdocksill.E104"
 
-  Scenario: Metrics are Prometheus text with quantiles
+  Scenario: Metrics are in the Prometheus text format with quantiles
     Given a watched fleet of three entry VMs and three upstreams
     When a watched caller sends 3 requests
-    Then metrics of the owner hold
+    Then the metrics of the owner contain
       | text                                          |
       | burdocksill_answers_total{                    |
       | upstream="ledger-1",verdict="ran"             |
       | burdocksill_request_seconds{quantile="0.99",service="kiosk-ledger",upstream="ledger-1"} |
       | burdocksill_request_seconds_count{service="kiosk-ledger",upstream="ledger-1"} 3 |
 
-  Scenario: The screen of a large fleet shows what needs a look first
-    Then the status screen of 300 VMs, one of them cut off, has at most 80 lines
-    And its first line about a VM is the one that was cut off
+  Scenario: The status screen of a large fleet shows problems first
+    Then the status screen of 300 VMs, one without a majority, has at most 80 lines
+    And its first line about a VM is the one without a majority
--- a/tests/steps/admin_status.py
+++ b/tests/steps/admin_status.py
@@ -1,4 +1,4 @@
-"""Steps about the admin interface; stories run in one world each."""
+"""Steps about the admin interface; each scenario runs in its own world."""
 
 from collections.abc import Awaitable, Callable
 from contextlib import suppress
@@ -16,7 +16,7 @@
 from burdocksill.admin.messages import NodeStatus, RecordStatus
 from burdocksill.callers.exceptions import CallFailedError
 from burdocksill.documents.models import ServiceDocument
-from burdocksill.management.commands.explain import ask
+from burdocksill.management.commands.explain import explain_fleet
 from burdocksill.management.screen import status_screen
 from burdocksill.management.target import Target
 from burdocksill.network.protocols import Address
@@ -29,20 +29,20 @@
 DOMAINS = ('cz-a', 'cz-b', 'cz-c')
 OWNER = 'cz-a-entry-1'
 SETTLE_SECONDS = 3
-Act = Callable[['Watched'], Awaitable[None]]
+Action = Callable[['Watched'], Awaitable[None]]
 
 
 class WorldTransport(httpx.AsyncBaseTransport):
-    """Carry admin requests to the nodes of a world that live."""
+    """Pass admin requests to the running nodes of a world."""
 
     def __init__(self, world: World) -> None:
-        """Look the nodes up at each request: they come and go."""
+        """Store the world, whose nodes are looked up at each request."""
         self.world = world
 
     async def handle_async_request(
         self, request: httpx.Request
     ) -> httpx.Response:
-        """Call the node's application, or refuse the connection."""
+        """Call the node's ASGI application, or raise ConnectError."""
         for running in self.world.nodes.values():
             if running.host == request.url.host:
                 app = AdminApp(node=running.node)
@@ -52,20 +52,20 @@
 
 
 def no_platform(url: str) -> Platform:
-    """Stand for a platform in an outage."""
+    """Raise the error of a platform in an outage."""
     raise PlatformUnavailableError(message='down')
 
 
 class Watched:
-    """Hold a world with an operator who looks at it."""
+    """Hold a world and give access to it as operators have."""
 
     def __init__(self, world: World, context: Context) -> None:
-        """Name the first VM that the operator knows."""
+        """Store the world and the scenario's context."""
         self.world = world
         self.context = context
 
     def target(self, domain: str) -> Target:
-        """Return an operator's target: one VM, and no platform."""
+        """Return a target with one VM and without a platform."""
         host = self.world.nodes[f'{domain}-entry-1'].host
         return Target(
             entries=(Address(host, ADMIN_PORT),),
@@ -76,15 +76,15 @@
 
 @given('a watched fleet of three entry VMs and three upstreams')
 def plan(context: Context) -> None:
-    """Collect what happens; the story runs at the first look."""
-    context.acts = []
+    """Start a list of actions, which `run_with` executes."""
+    context.actions = []
 
 
-def tell(context: Context, act: Act) -> None:
-    """Run the story so far with one more act at its end."""
-    context.acts.append(act)
+def run_with(context: Context, action: Action) -> None:
+    """Add an action and run all actions so far in a new world."""
+    context.actions.append(action)
 
-    async def story() -> None:
+    async def script() -> None:
         async with open_world(context.seed) as world:
             upstream = world.start_upstream('kiosk-ledger', 'ledger-1', 'cz-a')
             await world.put_document(
@@ -100,45 +100,45 @@
             )
             for domain in DOMAINS:
                 await world.start_node(f'{domain}-entry-1', domain)
-            # Long enough for every VM to have met the others.
+            # Long enough for every VM to know the others.
             await trio.sleep(SETTLE_SECONDS)
             watched = Watched(world, context)
-            for each in context.acts:
+            for each in context.actions:
                 await each(watched)
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
 @when('the platform goes down and the VM in "{domain}" dies')
 def kill(context: Context, domain: str) -> None:
-    """Kill a VM; the operator's target never has a platform."""
+    """Kill a VM; a target never has a platform in these scenarios."""
 
-    async def act(watched: Watched) -> None:
+    async def action(watched: Watched) -> None:
         watched.world.kill_node(f'{domain}-entry-1')
 
-    context.acts.append(act)
+    context.actions.append(action)
 
 
 @when('status is asked of the VM in "{domain}"')
 def ask_status(context: Context, domain: str) -> None:
-    """Keep what the fleet tells."""
+    """Store the status of the fleet."""
 
-    async def act(watched: Watched) -> None:
+    async def action(watched: Watched) -> None:
         context.fleet = await watched.target(domain).fleet()
 
-    tell(context, act)
+    run_with(context, action)
 
 
 @then('status shows {count:d} VMs that answer and "{name}" that does not')
 def check_vms(context: Context, count: int, name: str) -> None:
-    """Compare the VMs."""
+    """Compare the VMs that answered and those that did not."""
     assert len(context.fleet.nodes) == count
     assert context.fleet.silent == (name,), context.fleet.silent
 
 
 @then('status shows "{service}" revision and owner')
 def check_records(context: Context, service: str) -> None:
-    """Look for the document and for who owns its first upstream."""
+    """Check the document's revision and its first upstream's owner."""
     key = f'/burdocksill/documents/{service}'
     assert all(node.revision(key) > 0 for node in context.fleet.nodes)
     owners = [
@@ -160,9 +160,9 @@
 
 @when('a watched caller sends {count:d} requests')
 def send(context: Context, count: int) -> None:
-    """Send requests until the first upstream's flow is the caller's."""
+    """Open flows until one is at ledger-1, and send its requests there."""
 
-    async def act(watched: Watched) -> None:
+    async def action(watched: Watched) -> None:
         while True:
             async with watched.world.session('kiosk-ledger') as session:
                 first = await session.request('GET', ('confirmations',))
@@ -173,49 +173,54 @@
                 context.cookie = session.cookie
                 return
 
-    context.acts.append(act)
+    context.actions.append(action)
 
 
 @when('its cookie is explained')
 def explain_cookie(context: Context) -> None:
-    """Ask all VMs about the caller's cookie."""
+    """Explain the caller's cookie from all VMs."""
 
-    async def act(watched: Watched) -> None:
+    async def action(watched: Watched) -> None:
         query = ExplainQuery(cookie=context.cookie.hex())
-        context.told = await ask(watched.target('cz-b'), query)
+        context.explanation = await explain_fleet(
+            watched.target('cz-b'),
+            query,
+        )
 
-    tell(context, act)
+    run_with(context, action)
 
 
 @then('the explanation names upstream "{upstream}" and owner "{owner}"')
 def check_cookie(context: Context, upstream: str, owner: str) -> None:
-    """Compare what the cookie says."""
-    assert context.told.cookie.upstream == upstream
-    assert context.told.cookie.owner == owner
+    """Compare the content of the cookie."""
+    assert context.explanation.cookie.upstream == upstream
+    assert context.explanation.cookie.owner == owner
 
 
-@then('the explanation tells of {count:d} answers that ran')
+@then('the explanation has {count:d} answers that ran')
 def check_decisions(context: Context, count: int) -> None:
     """Count the answers of the flow."""
-    ran = [line for line in context.told.decisions if line.verdict == 'ran']
-    assert len(ran) == count, context.told.decisions
-    times = [line.at for line in context.told.decisions]
+    ran = [
+        line for line in context.explanation.decisions if line.verdict == 'ran'
+    ]
+    assert len(ran) == count, context.explanation.decisions
+    times = [line.at for line in context.explanation.decisions]
     assert times == sorted(times)
 
 
-@then('the explanation begins with where the flow was placed')
+@then('the explanation begins with the placement of the flow')
 def check_placed(context: Context) -> None:
-    """Compare the first decision, of the VM that got the first packet."""
-    first = context.told.decisions[0]
+    """Check the first decision, by the VM that got the first request."""
+    first = context.explanation.decisions[0]
     assert first.step == Step.PLACED.value, first
     assert (first.upstream, first.peer) == ('ledger-1', OWNER), first
 
 
 @when('a watched caller asks for an unknown service')
 def ask_unknown(context: Context) -> None:
-    """Send one request that no document fits."""
+    """Send one request to a service without a document."""
 
-    async def act(watched: Watched) -> None:
+    async def action(watched: Watched) -> None:
         async with watched.world.session('nobody-knows') as session:
             with suppress(CallFailedError):
                 await session.request('GET', ('x',))
@@ -224,12 +229,12 @@
             for running in watched.world.nodes.values()
         )
 
-    context.acts.append(act)
+    context.actions.append(action)
 
 
 @then('status counts a refusal "{reason}"')
 def check_refusal(context: Context, reason: str) -> None:
-    """Look for the reason on any VM."""
+    """Check the reasons that all VMs report."""
     reasons = [
         line.reason for node in context.fleet.nodes for line in node.refusals
     ]
@@ -238,16 +243,16 @@
 
 @then('no metric names the unknown service')
 def check_labels(context: Context) -> None:
-    """Look for the name that the caller made up."""
+    """Check that no label has the name that the caller sent."""
     assert 'nobody-knows' not in context.metrics
     assert 'reason="service-unknown"' in context.metrics
 
 
 @then('explaining "{token}" fails with "{code}"')
 def check_query(context: Context, token: str, code: str) -> None:
-    """Expect the interface's own error."""
+    """Expect the error that the admin interface reports."""
 
-    async def act(watched: Watched) -> None:
+    async def action(watched: Watched) -> None:
         target = watched.target('cz-b')
         query = ExplainQuery(tokens=(token,))
         try:
@@ -255,31 +260,31 @@
         except QueryInvalidError as error:
             context.caught = error
 
-    tell(context, act)
+    run_with(context, action)
     assert context.caught.code == code
     assert context.caught.hint
 
 
-@then('metrics of the owner hold')
+@then('the metrics of the owner contain')
 def check_metrics(context: Context) -> None:
-    """Look for each text on the page."""
+    """Look for each text in the response."""
 
-    async def act(watched: Watched) -> None:
+    async def action(watched: Watched) -> None:
         node = watched.world.nodes[OWNER].node
-        context.page = AdminApp(node=node).page('/metrics', '')
+        context.response = AdminApp(node=node).response('/metrics', '')
 
-    tell(context, act)
-    text = context.page.payload.decode()
+    run_with(context, action)
+    text = context.response.payload.decode()
     for row in context.table:
         assert row['text'] in text, text
 
 
 @then(
-    'the status screen of {count:d} VMs, one of them cut off, has at most '
+    'the status screen of {count:d} VMs, one without a majority, has at most '
     '{limit:d} lines'
 )
 def check_size(context: Context, count: int, limit: int) -> None:
-    """Write the screen of a made-up fleet."""
+    """Make the status screen of a fleet and check its length."""
     nodes = [
         NodeStatus(
             name=f'vm-{number:03}',
@@ -300,7 +305,7 @@
     assert len(context.large_screen) <= limit, len(context.large_screen)
 
 
-@then('its first line about a VM is the one that was cut off')
+@then('its first line about a VM is the one without a majority')
 def check_first(context: Context) -> None:
-    """Look below the heading."""
+    """Check the line below the heading."""
     assert 'hears no majority' in context.large_screen[1], context.large_screen
