--- a/burdocksill/admin/client.py
+++ b/burdocksill/admin/client.py
@@ -1,4 +1,4 @@
-"""Ask VMs about themselves; a VM that does not answer is named."""
+"""Client of the VMs' admin interfaces."""
 
 from collections.abc import Awaitable, Callable, Iterable, Mapping
 from contextlib import suppress
@@ -18,68 +18,68 @@
 from burdocksill.membership.protocols import MemberState
 from burdocksill.network.protocols import Address
 
-Told = TypeVar('Told')
+Message = TypeVar('Message')
 CALL_TIMEOUT_SECONDS: Final = 2.0
 CONNECT_TIMEOUT_SECONDS: Final = 1.0
-# Enough to ask a large fleet within seconds, few enough for one operator's
-# limit of open files.
-CALLS_AT_ONCE: Final = 64
+# High enough to query a large fleet within seconds, and low enough for an
+# operator's limit of open files.
+MAX_CONCURRENT_CALLS: Final = 64
 
 
 @attrs.frozen(kw_only=True)
 class FleetStatus:
-    """Hold what the VMs that answered know, and which did not answer."""
+    """Hold the status of the VMs that answered and the names of the others."""
 
     nodes: tuple[NodeStatus, ...]
     silent: tuple[str, ...] = ()
-    # The addresses that answered, in no order.
+    # The addresses that answered, in no particular order.
     addresses: tuple[Address, ...] = ()
 
 
 @attrs.define(kw_only=True)
-class Survey:
-    """Hold whom an operator's command has asked, and who is named next."""
+class FleetQuery:
+    """Track which VMs have answered, which have not and which to query next."""
 
-    waiting: dict[Address, str]
-    known: dict[Address, NodeStatus] = attrs.field(factory=dict)
+    pending: dict[Address, str]
+    answered: dict[Address, NodeStatus] = attrs.field(factory=dict)
     silent: dict[Address, str] = attrs.field(factory=dict)
 
-    def take(self, answered: dict[Address, NodeStatus]) -> None:
-        """Keep a round's answers and find whom they name that is new."""
-        self.known.update(answered)
-        unanswered = self.waiting.keys() - answered.keys()
+    def add_answers(self, answers: dict[Address, NodeStatus]) -> None:
+        """Store the answers of one round and queue the members they name."""
+        self.answered.update(answers)
+        unanswered = self.pending.keys() - answers.keys()
         self.silent.update(
-            {address: self.waiting[address] for address in unanswered},
+            {address: self.pending[address] for address in unanswered},
         )
-        named: dict[Address, str] = {}
-        for status in answered.values():
-            named.update(named_by(status))
-        met = self.known.keys() | self.silent.keys()
-        self.waiting = {
-            address: named[address] for address in named.keys() - met
+        members: dict[Address, str] = {}
+        for status in answers.values():
+            members.update(live_members(status))
+        queried = self.answered.keys() | self.silent.keys()
+        self.pending = {
+            address: members[address] for address in members.keys() - queried
         }
 
     def result(self) -> FleetStatus:
-        """Return everything in the order of failure domains and names."""
+        """Return the result, ordered by failure domain and name."""
         nodes = sorted(
-            self.known.values(),
+            self.answered.values(),
             key=lambda status: (status.domain, status.name),
         )
         return FleetStatus(
             nodes=tuple(nodes),
             silent=tuple(sorted(self.silent.values())),
-            addresses=tuple(self.known),
+            addresses=tuple(self.answered),
         )
 
 
 @attrs.define(kw_only=True)
 class AdminClient:
-    """Ask the admin interfaces of VMs over HTTP."""
+    """Query the admin interfaces of VMs over HTTP."""
 
     transport: httpx.AsyncBaseTransport | None = None
 
     async def status(self, address: Address) -> NodeStatus:
-        """Return what a VM knows; raise AdminUnreachableError."""
+        """Return a VM's status, or raise AdminUnreachableError."""
         return await self.get(address, '/status', {}, NodeStatus)
 
     async def explain(
@@ -87,7 +87,7 @@
         address: Address,
         query: ExplainQuery,
     ) -> Explanation:
-        """Return what a VM remembers of a flow or a request."""
+        """Return a VM's recorded decisions on a flow or a request."""
         fields: dict[str, str | list[str]] = {
             'flow': query.flow,
             'cookie': query.cookie,
@@ -100,9 +100,12 @@
         address: Address,
         path: str,
         fields: Mapping[str, str | list[str]],
-        kind: type[Told],
-    ) -> Told:
-        """Return one page as its typed message."""
+        kind: type[Message],
+    ) -> Message:
+        """Return one page, decoded as a message type.
+
+        Raise AdminUnreachableError or QueryInvalidError.
+        """
         url = f'http://{address}{path}'
         async with httpx.AsyncClient(
             transport=self.transport,
@@ -117,26 +120,26 @@
             except httpx.HTTPError as error:
                 raise AdminUnreachableError(
                     message=f'{url} did not answer: {error!r}',
-                    hint='name another VM with --entry',
+                    hint='give the address of another VM with --entry',
                 ) from error
         return decode_page(url, reply, kind)
 
-    async def fleet(self, asked: Mapping[Address, str]) -> FleetStatus:
-        """Ask the VMs with these addresses and names, and whom they name.
+    async def fleet(self, first: Mapping[Address, str]) -> FleetStatus:
+        """Query VMs by address and name, and all members that they report.
 
-        The first VM that answers gives the list of members, so that this
-        works with the platform down and from any VM.
+        The members come from the VMs that answer, so this works from any VM
+        and while the platform is down.
         """
-        survey = Survey(waiting=dict(asked))
-        while survey.waiting:
-            survey.take(await self.ask_all(survey.waiting))
-        return survey.result()
+        query = FleetQuery(pending=dict(first))
+        while query.pending:
+            query.add_answers(await self.status_all(query.pending))
+        return query.result()
 
-    async def ask_all(
+    async def status_all(
         self,
         addresses: Iterable[Address],
     ) -> dict[Address, NodeStatus]:
-        """Ask many VMs at once and return the answers that came."""
+        """Query VMs concurrently and return the status of those that answer."""
         return await gather(addresses, self.status)
 
     async def explain_all(
@@ -144,38 +147,39 @@
         addresses: Iterable[Address],
         query: ExplainQuery,
     ) -> tuple[Explanation, ...]:
-        """Ask many VMs at once what they remember."""
+        """Query VMs concurrently for their decisions on a flow or request."""
 
-        async def ask(address: Address) -> Explanation:
+        async def explain_one(address: Address) -> Explanation:
             return await self.explain(address, query)
 
-        answers = await gather(addresses, ask)
+        answers = await gather(addresses, explain_one)
         return tuple(answers.values())
 
 
 async def gather(
     addresses: Iterable[Address],
-    ask: Callable[[Address], Awaitable[Told]],
-) -> dict[Address, Told]:
-    """Ask at most so many VMs at once; leave out who does not answer."""
-    answers: dict[Address, Told] = {}
-    limit = trio.CapacityLimiter(CALLS_AT_ONCE)
+    call: Callable[[Address], Awaitable[Message]],
+) -> dict[Address, Message]:
+    """Call VMs with bounded concurrency; leave out those without answer."""
+    answers: dict[Address, Message] = {}
+    limit = trio.CapacityLimiter(MAX_CONCURRENT_CALLS)
 
-    async def ask_one(address: Address) -> None:
+    async def call_one(address: Address) -> None:
         async with limit:
             with suppress(AdminUnreachableError):
-                answers[address] = await ask(address)
+                answers[address] = await call(address)
 
     async with trio.open_nursery() as nursery:
         for address in addresses:
-            nursery.start_soon(ask_one, address)
+            nursery.start_soon(call_one, address)
     return answers
 
 
-def named_by(status: NodeStatus) -> dict[Address, str]:
-    """Return the admin addresses and names of the members a VM believes in.
+def live_members(status: NodeStatus) -> dict[Address, str]:
+    """Return the admin addresses and names of a VM's members, except dead ones.
 
-    A dead one would be waited for by every command until it is forgotten.
+    Otherwise every command would wait for a dead member until the fleet
+    forgets it.
     """
     return {
         Address(member.host, status.admin_port): member.name
@@ -184,8 +188,10 @@
     }
 
 
-def decode_page(url: str, reply: httpx.Response, kind: type[Told]) -> Told:
-    """Read a page; raise the error that it holds."""
+def decode_page(
+    url: str, reply: httpx.Response, kind: type[Message]
+) -> Message:
+    """Decode a page, or raise the error that it reports."""
     try:
         if reply.status_code == httpx.codes.BAD_REQUEST:
             problem = msgspec.json.decode(reply.content, type=Problem)
@@ -193,6 +199,6 @@
         return msgspec.json.decode(reply.content, type=kind)
     except msgspec.MsgspecError as error:
         raise AdminUnreachableError(
-            message=f'{url} answered something else: {error}',
-            hint='check that the address is an admin interface',
+            message=f'{url} returned an unexpected answer: {error}',
+            hint='check that the address is that of an admin interface',
         ) from error
