--- a/burdocksill/admin/checks.py
+++ b/burdocksill/admin/checks.py
@@ -1,4 +1,4 @@
-"""Check that the fleet's VMs answer and agree."""
+"""Checks of the running fleet: its VMs answer and agree."""
 
 from collections.abc import Iterator
 
@@ -11,31 +11,31 @@
 
 
 async def check_fleet(context: CheckContext) -> list[CheckMessage]:
-    """Ask every VM that can be found."""
+    """Return warnings about every VM that can be found."""
     if context.ask_fleet is None:
         return []
     try:
         fleet = await context.ask_fleet()
     except BurdocksillError as error:
         return [error_message(error)]
-    found = list(silent_vms(fleet))
+    found = list(unreachable_vms(fleet))
     for node in fleet.nodes:
-        found.extend(slips(node))
+        found.extend(status_warnings(node))
     return found
 
 
-def silent_vms(fleet: FleetStatus) -> Iterator[CheckMessage]:
-    """Warn of VMs that do not answer."""
+def unreachable_vms(fleet: FleetStatus) -> Iterator[CheckMessage]:
+    """Yield a warning for each VM that does not answer."""
     for name in fleet.silent:
         yield warning(
             301,
             f'{name} does not answer on its admin interface',
-            'see whether it runs, and whether its admin address is reachable',
+            'check that it runs and that its admin address is reachable',
         )
 
 
-def slips(node: NodeStatus) -> Iterator[CheckMessage]:
-    """Warn of what one VM says of itself."""
+def status_warnings(node: NodeStatus) -> Iterator[CheckMessage]:
+    """Yield warnings about the status that one VM reports."""
     if not node.serving:
         yield warning(
             302,
@@ -53,5 +53,5 @@
         yield warning(
             304,
             f'{node.name} runs version {node.version}, this is {VERSION}',
-            'finish the replacement of the VMs',
+            'finish the rollout of the new version',
         )
