--- a/burdocksill/admin/messages.py
+++ b/burdocksill/admin/messages.py
@@ -1,4 +1,4 @@
-"""What a VM tells operators, in the form that the admin interface sends."""
+"""Messages of the admin interface."""
 
 import enum
 
@@ -6,11 +6,11 @@
 
 
 class UpstreamState(enum.StrEnum):
-    """Name what an owner knows of its upstream."""
+    """Name the state of an upstream as its owner sees it."""
 
     CONNECTED = 'connected'
     UNREACHABLE = 'unreachable'
-    # Fell silent or sheds: nothing is admitted for a moment.
+    # Nothing is admitted for a moment, after silence or shedding.
     PAUSED = 'paused'
     COLD = 'cold'
     LEAVING = 'leaving'
@@ -19,7 +19,7 @@
 
 @attrs.frozen(kw_only=True)
 class MemberStatus:
-    """Hold what a VM believes of another."""
+    """Hold a member's state as one VM sees it."""
 
     name: str
     domain: str
@@ -39,7 +39,7 @@
     tenure: str
     state: UpstreamState
     busy: int
-    # How many requests may run at once now; at most the slots.
+    # Current limit of concurrent requests, at most `slots`.
     limit: int
     slots: int
 
@@ -64,7 +64,7 @@
 
 @attrs.frozen(kw_only=True)
 class DomainStatus:
-    """Hold a failure domain that operators took out, and why."""
+    """Hold a failure domain that is out of service, and why."""
 
     domain: str
     reason: str
@@ -73,7 +73,7 @@
 
 @attrs.frozen(kw_only=True)
 class RefusalStatus:
-    """Count answers that said why a request failed, in the last minute."""
+    """Hold the number of failed requests of one kind in the last minute."""
 
     service: str
     verdict: str
@@ -83,7 +83,7 @@
 
 @attrs.frozen(kw_only=True)
 class NodeStatus:
-    """Hold what one VM knows, typed so that scripts can rely on it."""
+    """Hold the state of one VM as /status reports it."""
 
     name: str
     domain: str
@@ -91,7 +91,7 @@
     serving: bool
     quorate: bool = True
     admin_port: int = 0
-    # False when this VM asked the platform last and got no answer.
+    # False when this VM's latest call of the platform got no answer.
     platform_answers: bool = True
     key_id: int | None = None
     members: tuple[MemberStatus, ...] = ()
@@ -111,14 +111,14 @@
 
 @attrs.frozen(kw_only=True)
 class Health:
-    """Say whether a VM serves."""
+    """Hold whether a VM serves callers."""
 
     serving: bool
 
 
 @attrs.frozen(kw_only=True)
 class DecisionLine:
-    """Hold one decision as an explanation shows it."""
+    """Hold one decision of an explanation."""
 
     at: float
     node: str
@@ -134,7 +134,7 @@
 
 @attrs.frozen(kw_only=True)
 class CookieLine:
-    """Hold what a cookie says, with names where this VM knows them."""
+    """Hold the content of a cookie, with names where this VM knows them."""
 
     service: str
     flow: str
@@ -147,7 +147,7 @@
 
 @attrs.frozen(kw_only=True)
 class Explanation:
-    """Hold what one VM remembers of a flow or a request."""
+    """Hold one VM's recorded decisions on a flow or a request."""
 
     node: str
     cookie: CookieLine | None = None
