--- a/burdocksill/admin/report.py
+++ b/burdocksill/admin/report.py
@@ -1,4 +1,4 @@
-"""Read a node's state into what operators see."""
+"""Status report of a node for operators."""
 
 from collections import Counter
 from typing import Final
@@ -26,7 +26,7 @@
 
 
 def node_status(node: EntryNode) -> NodeStatus:
-    """Return what a VM knows now; a starting VM knows little."""
+    """Return a VM's status; parts of it are empty while the VM starts."""
     settings = node.settings
     ring = node.keys.ring
     serving = node.serving.is_set()
@@ -44,7 +44,7 @@
         records=tuple(
             RecordStatus(key=record.key, revision=record.revision)
             for record in node.store.records.values()
-            # Made by the watchers and never put by anybody.
+            # Written by the watchers rather than by operators.
             if record.key != keys.DEPARTURES
         ),
         services=service_lines(node.store),
@@ -54,8 +54,8 @@
 
 
 def member_lines(node: EntryNode) -> tuple[MemberStatus, ...]:
-    """Return the members that this VM has heard of, by domain and name."""
-    known = sorted(
+    """Return the members that this VM knows, ordered by domain and name."""
+    members = sorted(
         (entry.member for entry in node.membership.table.known.values()),
         key=lambda member: (member.domain, member.name),
     )
@@ -66,12 +66,12 @@
             state=member.state.value,
             host=member.peer_address.host,
         )
-        for member in known
+        for member in members
     )
 
 
 def owned_lines(node: EntryNode) -> tuple[OwnedStatus, ...]:
-    """Return the upstreams that this VM owns, by name."""
+    """Return the upstreams that this VM owns, ordered by name."""
     lines = [
         owned_line(owned, node.store) for owned in node.owners.owned.values()
     ]
@@ -100,7 +100,7 @@
     owned: OwnedUpstream,
     store: DocumentStore,
 ) -> UpstreamState:
-    """Name the state that most explains why work goes there or not."""
+    """Return the state that best explains whether an upstream gets work."""
     if store.is_out(owned.upstream.domain):
         return UpstreamState.DOMAIN_OUT
     if owned.admission.leaving(owned.upstream):
@@ -115,7 +115,7 @@
 
 
 def service_lines(store: DocumentStore) -> tuple[ServiceStatus, ...]:
-    """Return the services with a document in force, by name."""
+    """Return the services with a document in force, ordered by name."""
     return tuple(
         ServiceStatus(
             service=name,
@@ -128,7 +128,7 @@
 
 
 def domain_lines(store: DocumentStore) -> tuple[DomainStatus, ...]:
-    """Return the failure domains that are out, by name."""
+    """Return the failure domains that are out, ordered by name."""
     return tuple(
         DomainStatus(
             domain=name,
@@ -149,8 +149,8 @@
 def refusal_lines(decisions: DecisionLog) -> tuple[RefusalStatus, ...]:
     """Count the refusals of the last minute, the most frequent first.
 
-    A flow that asks for its first cookie is answered so by design and is no
-    refusal that an operator could do anything about.
+    Requests without a cookie are left out: every new flow is refused once for
+    that reason, by design.
     """
     earliest = decisions.clock.now() - REFUSAL_SECONDS
     counted = Counter(
@@ -170,5 +170,5 @@
 
 
 def refusal_key(decision: Decision) -> tuple[str, str, str]:
-    """Return what refusals are counted by."""
+    """Return the key by which refusals are counted."""
     return decision.service, decision.verdict, decision.reason
