--- a/burdocksill/admin/exceptions.py
+++ b/burdocksill/admin/exceptions.py
@@ -4,12 +4,12 @@
 
 
 class AdminUnreachableError(BurdocksillError):
-    """Say that a VM's admin interface did not answer."""
+    """Report that a VM's admin interface did not answer."""
 
     code = 'burdocksill.E103'
 
 
 class QueryInvalidError(BurdocksillError):
-    """Say that an explanation was asked for by nothing that names a flow."""
+    """Report an explanation query without a valid flow, token or cookie."""
 
     code = 'burdocksill.E104'
