--- a/burdocksill/management/screen.py
+++ b/burdocksill/management/screen.py
@@ -1,6 +1,6 @@
-"""Write what the fleet knows as one screen for a tired reader.
+"""Text of `burdocksill status`: the state of the fleet on one screen.
 
-What needs a hand comes first in each part; a part without news is one line.
+Each part lists problems first; a part with nothing to report is one line.
 """
 
 from collections.abc import Iterable, Iterator
@@ -14,11 +14,11 @@
 from burdocksill.ownership.owned import OwnershipState
 from burdocksill.platform.keys import PREFIX
 
-IN_ORDER: Final = 'none'
-GOOD: Final = 'ok'
-# Lines without news that each part shows, so that it stays one screen.
-GOOD_SHOWN: Final = 24
-# A cold upstream serves; its limit on the line says how much.
+NONE: Final = 'none'
+OK: Final = 'ok'
+# Lines without a problem that each part shows, to fit one screen.
+MAX_OK_LINES: Final = 24
+# A cold upstream serves, up to the limit that its line shows.
 HEALTHY: Final = frozenset((UpstreamState.CONNECTED, UpstreamState.COLD))
 
 
@@ -46,53 +46,59 @@
 
 
 def vm_lines(fleet: FleetStatus) -> Iterator[str]:
-    """Show the VMs, those that do not answer first."""
+    """Yield the lines about VMs, those that do not answer first."""
     total = len(fleet.nodes) + len(fleet.silent)
     yield f'ENTRY VMS  {len(fleet.nodes)} of {total} answer'
     for name in fleet.silent:
         yield f'  !! {name} does not answer'
     for name in sorted(dead_names(fleet.nodes)):
         yield f'  -- {name} is believed dead'
-    yield from shortened(
+    yield from limit_ok_lines(
         f'{vm_mark(node)} {node.name} in {node.domain}: {vm_text(node)}'
         for node in fleet.nodes
     )
 
 
-def shortened(lines: Iterable[str]) -> Iterator[str]:
-    """Yield every line that needs a look, and some of those that do not."""
-    marked = sorted(lines, key=lambda line: line.startswith(GOOD))
-    good = [line for line in marked if line.startswith(GOOD)]
-    shown = len(marked) - max(0, len(good) - GOOD_SHOWN)
-    for line in marked[:shown]:
+def limit_ok_lines(lines: Iterable[str]) -> Iterator[str]:
+    """Yield every line with a problem, then at most MAX_OK_LINES others."""
+    ordered = sorted(lines, key=lambda line: line.startswith(OK))
+    without_problem = [line for line in ordered if line.startswith(OK)]
+    shown = len(ordered) - max(0, len(without_problem) - MAX_OK_LINES)
+    for line in ordered[:shown]:
         yield f'  {line}'
-    if shown < len(marked):
-        yield f'  {GOOD} and {len(marked) - shown} more'
+    if shown < len(ordered):
+        yield f'  {OK} and {len(ordered) - shown} more'
 
 
 def dead_names(nodes: Iterable[NodeStatus]) -> set[str]:
-    """Return the members that some VM believes dead and none alive."""
-    told = [member for node in nodes for member in node.members]
-    dead = {line.name for line in told if line.state == MemberState.DEAD.value}
+    """Return the members that some VM considers dead and none alive."""
+    statuses = [member for node in nodes for member in node.members]
+    dead = {
+        status.name
+        for status in statuses
+        if status.state == MemberState.DEAD.value
+    }
     return dead - {
-        line.name for line in told if line.state != MemberState.DEAD.value
+        status.name
+        for status in statuses
+        if status.state != MemberState.DEAD.value
     }
 
 
 def vm_mark(node: NodeStatus) -> str:
-    """Mark a VM that needs a look."""
+    """Return the mark of a VM: "ok", or "!!" for a problem."""
     healthy = node.serving and node.quorate and node.key_id is not None
     return 'ok' if healthy else '!!'
 
 
 def vm_text(node: NodeStatus) -> str:
-    """Say what a VM does."""
+    """Return the state of a VM as text."""
     if not node.serving:
         return 'not serving: it has learned no documents and keys yet'
-    seen = sum(
+    visible = sum(
         member.state != MemberState.DEAD.value for member in node.members
     )
-    parts = [f'owns {len(node.owned)}', f'sees {seen} VMs']
+    parts = [f'owns {len(node.owned)}', f'sees {visible} VMs']
     if not node.quorate:
         parts.append('hears no majority of its domain')
     if not node.platform_answers:
@@ -103,61 +109,64 @@
 
 
 def domain_lines(nodes: Iterable[NodeStatus]) -> Iterator[str]:
-    """Show the failure domains that are out, and who does not know it."""
+    """Yield the failure domains that are out, and VMs unaware of it."""
     out = {
         record.domain: record for node in nodes for record in node.domains_out
     }
-    yield f'FAILURE DOMAINS OUT  {len(out) or IN_ORDER}'
+    yield f'FAILURE DOMAINS OUT  {len(out) or NONE}'
     for name, record in sorted(out.items()):
         unaware = [
             node.name
             for node in nodes
-            if name not in {known.domain for known in node.domains_out}
+            if name not in {each.domain for each in node.domains_out}
         ]
         why = record.reason or 'no reason given'
-        late = f'; NOT known on {", ".join(unaware)}' if unaware else ''
-        yield f'  -- {name}: {why}{late}'
+        missing = f'; NOT known on {", ".join(unaware)}' if unaware else ''
+        yield f'  -- {name}: {why}{missing}'
 
 
 def document_lines(nodes: tuple[NodeStatus, ...]) -> Iterator[str]:
-    """Show the records in force and where they are not yet."""
-    newest = newest_revisions(nodes)
-    late = list(lagging(nodes, newest))
-    behind = {record.key for record in late}
-    yield f'RECORDS  {len(newest)} in force, {len(late)} not everywhere'
-    for record in late:
+    """Yield the records, first those that are not in force on every VM."""
+    highest = highest_revisions(nodes)
+    not_everywhere = list(lagging_records(nodes, highest))
+    behind = {record.key for record in not_everywhere}
+    yield (
+        f'RECORDS  {len(highest)} in force, '
+        f'{len(not_everywhere)} not everywhere'
+    )
+    for record in not_everywhere:
         yield (
-            f'  !! {short(record.key)} revision {record.revision} not yet on '
-            f'{", ".join(record.behind)}'
+            f'  !! {short_key(record.key)} revision {record.revision} '
+            f'not yet on {", ".join(record.behind)}'
         )
-    fine: list[str] = []
-    for key, revision in sorted(newest.items()):
+    ok_lines: list[str] = []
+    for key, revision in sorted(highest.items()):
         if key not in behind:
-            fine.append(f'{GOOD} {short(key)} revision {revision}')
-    yield from shortened(fine)
+            ok_lines.append(f'{OK} {short_key(key)} revision {revision}')
+    yield from limit_ok_lines(ok_lines)
 
 
-def short(key: str) -> str:
-    """Return a record's key as operators say it."""
+def short_key(key: str) -> str:
+    """Return a record's key without the common prefix."""
     return key.removeprefix(PREFIX)
 
 
-def newest_revisions(nodes: Iterable[NodeStatus]) -> dict[str, int]:
+def highest_revisions(nodes: Iterable[NodeStatus]) -> dict[str, int]:
     """Return the highest revision of each record that any VM has."""
-    newest: dict[str, int] = {}
+    highest: dict[str, int] = {}
     for node in nodes:
         for record in node.records:
-            known = newest.get(record.key, 0)
-            newest[record.key] = max(known, record.revision)
-    return newest
+            previous = highest.get(record.key, 0)
+            highest[record.key] = max(previous, record.revision)
+    return highest
 
 
-def lagging(
+def lagging_records(
     nodes: Iterable[NodeStatus],
-    newest: dict[str, int],
+    highest: dict[str, int],
 ) -> Iterator[LaggingRecord]:
-    """Return the records that some VM has only in an older revision."""
-    for key, revision in sorted(newest.items()):
+    """Yield the records of which some VM has an older revision."""
+    for key, revision in sorted(highest.items()):
         behind = tuple(
             node.name for node in nodes if node.revision(key) < revision
         )
@@ -166,11 +175,11 @@
 
 
 def upstream_lines(nodes: tuple[NodeStatus, ...]) -> Iterator[str]:
-    """Show every upstream with its owner, those in trouble first."""
+    """Yield every upstream with its owner, those with problems first."""
     owners = [(line, node.name) for node in nodes for line in node.owned]
     owners.sort(key=lambda pair: (pair[0].service, pair[0].upstream))
     yield f'UPSTREAMS  {len(owners)} owned'
-    yield from shortened(
+    yield from limit_ok_lines(
         f'{upstream_text(line)}, owner {owner}' for line, owner in owners
     )
     for missing in unowned(nodes):
@@ -178,7 +187,7 @@
 
 
 def upstream_text(line: OwnedStatus) -> str:
-    """Say what an owner knows of its upstream."""
+    """Return an upstream's state as its owner reports it."""
     healthy = line.state in HEALTHY
     phase = (
         ''
@@ -193,7 +202,7 @@
 
 
 def unowned(nodes: Iterable[NodeStatus]) -> list[str]:
-    """Return the upstreams that no VM that answered owns."""
+    """Return the upstreams that none of the answering VMs owns."""
     owned = {
         f'{line.service}/{line.upstream}'
         for node in nodes
@@ -202,19 +211,19 @@
     services = {
         service.service: service for node in nodes for service in node.services
     }
-    named = {
+    documented = {
         f'{name}/{upstream}'
         for name, service in services.items()
         for upstream in service.upstreams
     }
-    return sorted(named - owned)
+    return sorted(documented - owned)
 
 
 def refusal_lines(nodes: Iterable[NodeStatus]) -> Iterator[str]:
-    """Show what was refused in the last minute, where and why."""
+    """Yield the refusals of the last minute by reason and VM."""
     refusals = [(line, node.name) for node in nodes for line in node.refusals]
     total = sum(line.count for line, _ in refusals)
-    yield f'REFUSED IN THE LAST MINUTE  {total or IN_ORDER}'
+    yield f'REFUSED IN THE LAST MINUTE  {total or NONE}'
     refusals.sort(key=lambda pair: pair[0].count, reverse=True)
     for line, name in refusals:
         service = line.service or 'unknown service'
