--- a/burdocksill/management/commands/__init__.py
+++ b/burdocksill/management/commands/__init__.py
@@ -1,1 +1,1 @@
-"""One module for each operators' command."""
+"""Operators' commands, one module each."""
--- a/burdocksill/management/commands/check.py
+++ b/burdocksill/management/commands/check.py
@@ -66,12 +66,12 @@
     Exit codes: 0 nothing at or above the fail level, 1 something.
     """
     platform = settings.get('platform') or target.platform_url
-    asked = attrs.evolve(target, platform_url=platform)
+    checked = attrs.evolve(target, platform_url=platform)
     context = CheckContext(
         settings=settings,
         documents=documents,
-        platform=reachable(asked),
-        ask_fleet=asked.fleet if platform or target.entries else None,
+        platform=platform_or_none(checked),
+        ask_fleet=checked.fleet if platform or target.entries else None,
     )
 
     async def run() -> list[CheckMessage]:
@@ -83,8 +83,11 @@
     sys.exit(Exit.FAILED if worst >= Level[fail_level] else Exit.DONE)
 
 
-def reachable(target: Target) -> Platform | None:
-    """Return the platform's client; a wrong URL is the settings' matter."""
+def platform_or_none(target: Target) -> Platform | None:
+    """Return the platform's client, or None when the URL is not usable.
+
+    The checks of settings report a wrong URL.
+    """
     try:
         return target.platform()
     except BurdocksillError:
@@ -93,10 +96,10 @@
 
 def report(messages: list[CheckMessage], *, as_json: bool) -> None:
     """Print the messages, the most serious first."""
-    ordered = sorted(messages, key=lambda told: told.level, reverse=True)
+    ordered = sorted(messages, key=lambda each: each.level, reverse=True)
     if as_json:
         echo_json(ordered)
         return
-    serious = sum(told.level > Level.INFO for told in ordered)
-    verdict = f'{serious} problems' if serious else 'no problems'
-    click.echo('\n'.join([*map(str, ordered), verdict]))
+    problems = sum(each.level > Level.INFO for each in ordered)
+    summary = f'{problems} problems' if problems else 'no problems'
+    click.echo('\n'.join([*map(str, ordered), summary]))
