--- a/burdocksill/management/commands/keys.py
+++ b/burdocksill/management/commands/keys.py
@@ -19,7 +19,7 @@
 
 @attrs.frozen(kw_only=True)
 class KeyLine:
-    """Name one key; its secret is never shown."""
+    """Hold one key as it is listed, without its secret."""
 
     key_id: int
     signs: bool
@@ -51,8 +51,8 @@
         )
         if not swap.accepted:
             raise DocumentConflictError(
-                message='somebody else rotated the keys just now',
-                hint='nothing more is to be done',
+                message='the keys were rotated by somebody else meanwhile',
+                hint='no further rotation is needed',
             )
         return ring
 
@@ -61,7 +61,7 @@
 
 
 async def read_ring(platform: Platform) -> KeyRing:
-    """Return the fleet's keys; raise KeysMissingError."""
+    """Return the fleet's keys, or raise KeysMissingError."""
     stored = await platform.read(FLEET_KEYS)
     if stored is None:
         raise KeysMissingError(
