--- a/burdocksill/management/domains.py
+++ b/burdocksill/management/domains.py
@@ -1,4 +1,4 @@
-"""List the failure domains that documents and operators name."""
+"""Failure domains that documents and operators name."""
 
 import attrs
 import msgspec
@@ -16,7 +16,7 @@
 
 @attrs.frozen(kw_only=True)
 class DomainLine:
-    """Hold one failure domain; revision 0 means that nobody spoke of it."""
+    """Hold one failure domain; revision 0 means that it has no record."""
 
     domain: str
     state: DomainState
@@ -30,15 +30,15 @@
     lines: dict[str, DomainLine] = {}
     for stored in snapshot.values:
         if stored.key.startswith(keys.DOCUMENTS):
-            lines = named_by(stored) | lines
+            lines = domains_in(stored) | lines
         elif stored.key.startswith(keys.DOMAINS):
             line = decode_line(stored)
             lines[line.domain] = line
-    return tuple(sorted(lines.values(), key=lambda known: known.domain))
+    return tuple(sorted(lines.values(), key=lambda line: line.domain))
 
 
-def named_by(stored: StoredValue) -> dict[str, DomainLine]:
-    """Return the failure domains of a document, as if all were in service."""
+def domains_in(stored: StoredValue) -> dict[str, DomainLine]:
+    """Return the failure domains of a document, all as in service."""
     return {
         name: DomainLine(domain=name, state=DomainState.IN_SERVICE)
         for name in decode_document(stored.value).domains
@@ -46,12 +46,12 @@
 
 
 def decode_line(stored: StoredValue) -> DomainLine:
-    """Read an operator's word on one failure domain."""
+    """Decode a record of a failure domain."""
     try:
         record = msgspec.json.decode(stored.value, type=DomainRecord)
     except msgspec.MsgspecError as error:
         raise DocumentInvalidError(
-            message=f'{stored.key} cannot be read: {error}',
+            message=f'{stored.key} cannot be decoded: {error}',
             hint='write it again with: burdocksill domain out | return',
         ) from error
     return DomainLine(
