--- a/burdocksill/management/history.py
+++ b/burdocksill/management/history.py
@@ -1,9 +1,9 @@
-"""The earlier revisions of a record, as the platform still has them.
+"""Earlier revisions of a record that the platform still stores.
 
 The platform keeps old revisions until it is compacted, so the history is
-read by a watch that starts in the past. A history of our own would need a
-second write with every edit, could disagree with the document it belongs to
-and would grow towards the largest value that the platform takes.
+read by a watch from a past revision. A separate history would need a second
+write with every edit, could contradict its document and would grow towards
+the maximum size of a value.
 """
 
 from contextlib import aclosing
@@ -21,14 +21,17 @@
 
 @attrs.frozen(kw_only=True)
 class History:
-    """Hold revisions, the oldest first; older ones may be compacted."""
+    """Hold a record's revisions, the oldest first.
+
+    `complete` is False when earlier ones were compacted.
+    """
 
     revisions: tuple[StoredValue, ...]
     complete: bool
 
 
 async def read_history(platform: Platform, key: str) -> History:
-    """Return what the platform still has of a record."""
+    """Return the revisions of a record that the platform still stores."""
     current = await platform.read(key)
     if current is None:
         return History(revisions=(), complete=True)
@@ -36,7 +39,7 @@
         found = await revisions_from(platform, current, FIRST_REVISION)
     except PlatformCompactedError as compacted:
         later = await revisions_from(platform, current, compacted.revision)
-        # The newest one stands even when its own revision was compacted.
+        # The current value is shown even when its revision was compacted.
         return History(revisions=later or (current,), complete=False)
     return History(revisions=found, complete=True)
 
@@ -46,7 +49,7 @@
     current: StoredValue,
     first: int,
 ) -> tuple[StoredValue, ...]:
-    """Return a record's revisions from one on, up to the current one."""
+    """Return a record's revisions from `first` up to the current one."""
     found: list[StoredValue] = []
     if first > current.revision:
         return ()
@@ -54,7 +57,7 @@
         changes = platform.watch(prefix=current.key, from_revision=first)
         async with aclosing(changes):
             async for change in changes:
-                # A watch follows a prefix; other names may begin alike.
+                # A watch covers a prefix, so other keys may match it too.
                 if change.key == current.key:
                     found.append(change)
                 if change.revision >= current.revision:
