--- a/burdocksill/management/stored.py
+++ b/burdocksill/management/stored.py
@@ -1,4 +1,4 @@
-"""Documents as the platform holds them, read for operators."""
+"""Documents and their history as the platform stores them."""
 
 import difflib
 
@@ -14,20 +14,20 @@
 
 @attrs.frozen(kw_only=True)
 class StoredDocument:
-    """Hold a document with the revision that accepted it."""
+    """Hold a document and its revision."""
 
     revision: int
     document: ServiceDocument
 
     @property
     def label(self) -> str:
-        """Name the document in a comparison."""
+        """Return the name of the document in a diff."""
         return f'{self.document.service} revision {self.revision}'
 
 
 @attrs.frozen(kw_only=True)
 class HistoryEntry:
-    """Hold one revision and what it changed."""
+    """Hold one revision and its changes as a unified diff."""
 
     revision: int
     edit_id: str
@@ -36,7 +36,7 @@
 
 @attrs.frozen(kw_only=True)
 class DocumentHistory:
-    """Hold the revisions that are left, the oldest first."""
+    """Hold the revisions that are still stored, the oldest first."""
 
     service: str
     complete: bool
@@ -44,7 +44,7 @@
 
 
 async def read_document(platform: Platform, service: str) -> StoredDocument:
-    """Return a service's document; raise DocumentMissingError."""
+    """Return a service's document, or raise DocumentMissingError."""
     stored = await platform.read(document_key(service))
     if stored is None:
         raise DocumentMissingError(
@@ -55,22 +55,22 @@
     if document.deleted:
         raise DocumentMissingError(
             message=f'{service!r} was deleted at revision {stored.revision}',
-            hint='its earlier ones: burdocksill document history SERVICE',
+            hint='show earlier ones: burdocksill document history SERVICE',
         )
     return StoredDocument(revision=stored.revision, document=document)
 
 
 async def document_history(platform: Platform, service: str) -> DocumentHistory:
-    """Return the changes from revision to revision."""
-    told = await read_history(platform, document_key(service))
-    if not told.revisions:
+    """Return a document's history, or raise DocumentMissingError."""
+    history = await read_history(platform, document_key(service))
+    if not history.revisions:
         raise DocumentMissingError(
             message=f'there is no document of {service!r}',
             hint='put one with: burdocksill document put FILE',
         )
     before: StoredDocument | None = None
     entries: list[HistoryEntry] = []
-    for stored in told.revisions:
+    for stored in history.revisions:
         after = StoredDocument(
             revision=stored.revision,
             document=decode_document(stored.value),
@@ -85,13 +85,13 @@
         before = after
     return DocumentHistory(
         service=service,
-        complete=told.complete,
+        complete=history.complete,
         entries=tuple(entries),
     )
 
 
 def difference(before: StoredDocument | None, after: StoredDocument) -> str:
-    """Return a unified diff of two revisions, empty when they are alike."""
+    """Return a unified diff of two revisions, empty when they are equal."""
     return text_difference(
         before.label if before else 'nothing',
         document_text(before.document) if before else '',
