--- a/burdocksill/management/target.py
+++ b/burdocksill/management/target.py
@@ -1,4 +1,4 @@
-"""Where an operator's command goes: the platform and the entry VMs."""
+"""Connections of an operator's command to the platform and entry VMs."""
 
 from collections.abc import Callable
 
@@ -15,13 +15,13 @@
 
 
 def open_etcd(url: str) -> Platform:
-    """Make the client of the platform service."""
+    """Return a client of the platform at a URL."""
     return EtcdPlatform(endpoint=url)
 
 
 @attrs.frozen(kw_only=True)
 class Target:
-    """Hold addresses as given, and how they are reached."""
+    """Hold the addresses that a command uses and their clients."""
 
     platform_url: str = ''
     entries: tuple[Address, ...] = ()
@@ -29,7 +29,10 @@
     admin: AdminClient = attrs.field(factory=AdminClient)
 
     def platform(self) -> Platform:
-        """Return a client of the platform; raise when no URL was given."""
+        """Return a client of the platform.
+
+        Raise SettingMissingError when no URL was given.
+        """
         if not self.platform_url:
             raise SettingMissingError(
                 message='--platform is not given',
@@ -38,10 +41,11 @@
         return self.connect(parse_url('--platform', self.platform_url))
 
     async def entry_names(self) -> dict[Address, str]:
-        """Return admin addresses and names, as given or as listed.
+        """Return the admin addresses and names of VMs to query first.
 
-        The list is the platform's; with the platform down an operator names
-        any one VM with --entry, and that VM names the others.
+        They come from --entry, or else from the platform's list of VMs. While
+        the platform is down, one VM given by --entry is enough, as it reports
+        the others.
         """
         if self.entries:
             return {address: str(address) for address in self.entries}
@@ -49,8 +53,8 @@
             records = await self.platform().list_vms()
         except BurdocksillError as error:
             raise AdminUnreachableError(
-                message=f'no VM is known to ask ({error.message})',
-                hint='name any VM: burdocksill --entry HOST:PORT',
+                message=f'no VM to query is known ({error.message})',
+                hint='give any VM: burdocksill --entry HOST:PORT',
             ) from error
         return {
             Address(record.host, record.admin_port): record.name
@@ -59,5 +63,5 @@
         }
 
     async def fleet(self) -> FleetStatus:
-        """Ask every VM that can be found."""
+        """Return the status of every VM that can be found."""
         return await self.admin.fleet(await self.entry_names())
