--- a/burdocksill/management/exits.py
+++ b/burdocksill/management/exits.py
@@ -4,7 +4,7 @@
 
 
 class Exit(enum.IntEnum):
-    """Say by a number how a command ended."""
+    """Name the exit codes."""
 
     DONE = 0
     FAILED = 1
--- a/burdocksill/management/running.py
+++ b/burdocksill/management/running.py
@@ -1,4 +1,4 @@
-"""Run an operator's command and end with its exit code."""
+"""Running of operators' commands, with their output and exit codes."""
 
 import json
 import sys
@@ -42,7 +42,7 @@
 
 
 def run_async(command: Callable[[], Awaitable[Outcome]]) -> Outcome:
-    """Run a command; print an error with its code and cure, and exit."""
+    """Run a command; on an error print its code and hint, and exit."""
     try:
         return trio.run(command)
     except BurdocksillError as error:
@@ -50,7 +50,7 @@
 
 
 def fail(error: BurdocksillError) -> NoReturn:
-    """Print an error and end with the exit code of its kind."""
+    """Print an error and exit with its code."""
     click.echo(str(error), err=True)
     sys.exit(exit_code(error))
 
@@ -67,7 +67,7 @@
     return Exit.FAILED
 
 
-def echo_json(told: object) -> None:
+def echo_json(content: object) -> None:
     """Print a typed message as indented JSON."""
-    plain = msgspec.to_builtins(told)
+    plain = msgspec.to_builtins(content)
     click.echo(json.dumps(plain, indent=JSON_INDENT))
