--- a/tests/management/commands.feature
+++ b/tests/management/commands.feature
@@ -1,23 +1,23 @@
 Feature: The operators' commands on documents, domains and keys
-  Two operators get the same document, each edits a copy, and both put theirs.
-  If the second put won, the first change would be gone without a word; so a
-  file that was got carries its revision, and the later put is refused.
+  Two operators get the same document, edit their copies and put them. If the
+  second put were accepted, the first change would be lost without notice. So
+  the output of get carries the revision, and the later put is refused.
 
   Background:
     Given the commands run against a platform with fleet keys
 
-  Scenario: A document goes round through get and put
+  Scenario: The output of get can be put without a change
     When the command "document put FILE" runs on the document with 2 slots
     Then the command ends with 0 and prints "accepted at revision"
     When the command "document get kiosk-ledger" runs
-    Then what the command printed is put again without a change
+    Then the command's output is put again without a change
 
   Scenario: The later of two edits of one revision is refused
     When the command "document put FILE" runs on the document with 2 slots
-    And the command "document get kiosk-ledger" runs and its output is kept
-    And the command "document put FILE" runs on the kept document with 3 slots
+    And the command "document get kiosk-ledger" runs and its output is saved
+    And the command "document put FILE" runs on the saved document with 3 slots
     Then the command ends with 0 and prints "accepted at revision"
-    When the command "document put FILE" runs on the kept document with 4 slots
+    When the command "document put FILE" runs on the saved document with 4 slots
     Then the command ends with 3 and prints "burdocksill.E202"
 
   Scenario: Diff and history show what changed
@@ -27,15 +27,15 @@
     When the command "document put FILE" runs on the document with 3 slots
     And the command "document history kiosk-ledger" runs
     Then the command ends with 0 and prints "-slots = 2"
-    And the history names 2 revisions of this service alone
+    And the history has 2 revisions of this service only
 
-  Scenario: A half-valid document changes nothing
+  Scenario: A document with an invalid field changes nothing
     When the command "document put FILE" runs on the document with 0 slots
     Then the command ends with 1 and prints "upstreams[0].slots is 0"
     When the command "document get kiosk-ledger" runs
     Then the command ends with 1 and prints "burdocksill.E203"
 
-  Scenario: Failure domains are listed with why they are out
+  Scenario: Failure domains are listed with the reason why they are out
     When the command "document put FILE" runs on the document with 2 slots
     And the command "domain out cz-b --reason cooling" runs
     And the command "domain list" runs
@@ -48,7 +48,7 @@
     Then the command ends with 0 and prints "key 2 signs"
     And no secret of the fleet is printed
 
-  Scenario: A deleted document stays as a record
+  Scenario: A deleted document leaves a record of its deletion
     When the command "document put FILE" runs on the document with 2 slots
     And the command "document delete kiosk-ledger" runs
     Then the command ends with 0 and prints "accepted at revision"
@@ -62,17 +62,17 @@
     When the command "status" runs
     Then the command ends with 5 and prints "no VM answered"
 
-  Scenario: Without a platform the cure is named
+  Scenario: Without a platform the error has a hint
     Given the commands get no platform
     When the command "keys list" runs
     Then the command ends with 2 and prints "set BURDOCKSILL_PLATFORM"
     When the command "status" runs
     Then the command ends with 5 and prints "burdocksill --entry HOST:PORT"
 
-  Scenario: History says what the platform has compacted
+  Scenario: History reports that the platform has compacted revisions
     When the command "document put FILE" runs on the document with 2 slots
     And the command "document put FILE" runs on the document with 3 slots
     And the platform of the commands compacts all but the newest revision
     And the command "document history kiosk-ledger" runs
     Then the command ends with 0 and prints "compacted the earlier revisions"
-    And the history names 1 revisions of this service alone
+    And the history has 1 revisions of this service only
--- a/tests/steps/management_commands.py
+++ b/tests/steps/management_commands.py
@@ -46,10 +46,10 @@
     async def watch(
         self, *, prefix: str, from_revision: int
     ) -> AsyncGenerator[StoredValue, None]:
-        """Refuse a watch from a revision that is gone."""
+        """Watch, but fail for a revision that has been compacted."""
         if from_revision < self.oldest:
-            gone = {'canceled': True, 'compact_revision': self.oldest}
-            decode_events(json.dumps({'result': gone}))
+            canceled = {'canceled': True, 'compact_revision': self.oldest}
+            decode_events(json.dumps({'result': canceled}))
         changes = MemoryPlatform.watch(
             self, prefix=prefix, from_revision=from_revision
         )
@@ -58,16 +58,16 @@
 
 
 def refuse(request: httpx.Request) -> httpx.Response:
-    """Refuse every connection."""
+    """Raise the error of a refused connection."""
     raise httpx.ConnectError('refused')
 
 
 @given('the commands run against a platform with fleet keys')
 def make_target(context: Context) -> None:
-    """Give the commands a platform in memory and no VM."""
+    """Give the commands a platform in memory without VMs."""
     platform = CompactingPlatform()
     platform.put(keys.FLEET_KEYS, encode_ring(rotate(None)))
-    # Another service whose name begins alike.
+    # Another service, whose name has the first one's as a prefix.
     other = DOCUMENT.format(slots=1).replace('kiosk-ledger', 'kiosk-ledger-2')
     platform.put(
         keys.document_key('kiosk-ledger-2'),
@@ -97,7 +97,7 @@
 
 @given('the commands get no platform')
 def no_platform(context: Context) -> None:
-    """Leave the URL out."""
+    """Give the commands no URL of the platform."""
     context.command_target = Target()
 
 
@@ -125,17 +125,17 @@
     run(context, command, DOCUMENT.format(slots=slots))
 
 
-@when('the command "{command}" runs and its output is kept')
-def run_and_keep(context: Context, command: str) -> None:
-    """Keep what an operator saves in a file."""
+@when('the command "{command}" runs and its output is saved')
+def run_and_save(context: Context, command: str) -> None:
+    """Store the output, as an operator saves it in a file."""
     run(context, command)
-    context.kept_document = context.command.output
+    context.saved_document = context.command.output
 
 
-@when('the command "{command}" runs on the kept document with {slots:d} slots')
-def run_on_kept(context: Context, command: str, slots: int) -> None:
-    """Put an edited copy of the kept document."""
-    text = context.kept_document.replace('slots = 2', f'slots = {slots}')
+@when('the command "{command}" runs on the saved document with {slots:d} slots')
+def run_on_saved(context: Context, command: str, slots: int) -> None:
+    """Run a command on an edited copy of the saved document."""
+    text = context.saved_document.replace('slots = 2', f'slots = {slots}')
     run(context, command, text)
 
 
@@ -147,9 +147,9 @@
     assert text in command.output, command.output
 
 
-@then('what the command printed is put again without a change')
-def check_round(context: Context) -> None:
-    """Compare, then put."""
+@then("the command's output is put again without a change")
+def check_put_again(context: Context) -> None:
+    """Diff the output against the stored document, then put it."""
     text = context.command.output
     assert text.startswith('# revision '), text
     run(context, 'document diff FILE', text)
@@ -158,7 +158,7 @@
     assert context.command.exit_code == 0, context.command.output
 
 
-@then('the history names {count:d} revisions of this service alone')
+@then('the history has {count:d} revisions of this service only')
 def check_history(context: Context, count: int) -> None:
     """Count the revisions that are shown."""
     lines = context.command.output.splitlines()
@@ -176,6 +176,6 @@
 
 @when('the platform of the commands compacts all but the newest revision')
 def compact(context: Context) -> None:
-    """Forget all revisions but the newest."""
+    """Drop all revisions but the newest."""
     platform = context.command_platform
     platform.oldest = platform.revision
