--- a/burdocksill/conf/catalog.py
+++ b/burdocksill/conf/catalog.py
@@ -1,7 +1,7 @@
-"""Every setting of burdocksill-entry, with its default and its meaning.
+"""Settings of burdocksill-entry, with their defaults and meanings.
 
-This is the one place where a default stands: the command line, the checks and
-`docs/reference/settings.md` are all made from it.
+Defaults are defined only here: the command line, the checks and
+`docs/reference/settings.md` are generated from this list.
 """
 
 from collections.abc import Callable, Mapping
@@ -26,50 +26,53 @@
 
     name: str
     meaning: str
-    read: Callable[[str, str], object]
+    parse: Callable[[str, str], object]
     default: str | None = None
 
     @property
     def flag(self) -> str:
-        """Return the flag of the command line."""
+        """Return the command-line flag."""
         return f'--{self.name.replace("_", "-")}'
 
     @property
     def variable(self) -> str:
-        """Return the environment variable."""
+        """Return the name of the environment variable."""
         return f'{PREFIX}_{self.name.upper()}'
 
     def value(self, text: str | None) -> object:
-        """Read a given text, or the default where none was given."""
-        given = self.default if text is None else text
-        if given is None:
+        """Parse a given text, or the default when it is None.
+
+        Raise SettingInvalidError.
+        """
+        source = self.default if text is None else text
+        if source is None:
             raise SettingMissingError(
                 message=f'{self.flag} is not given',
                 hint=f'give {self.flag} or set {self.variable}',
             )
-        return self.read(self.flag, given)
+        return self.parse(self.flag, source)
 
 
-CATALOG: Final = (
+SETTINGS: Final = (
     Setting(
         name='name',
         meaning='Name of this entry VM; no other VM has it.',
-        read=readers.require_name,
+        parse=readers.require_name,
     ),
     Setting(
         name='domain',
         meaning='Failure domain that this VM stands in.',
-        read=readers.require_name,
+        parse=readers.require_name,
     ),
     Setting(
         name='listen',
         meaning='Address for callers (UDP), host:port.',
-        read=readers.parse_address,
+        parse=readers.parse_address,
     ),
     Setting(
         name='peer',
         meaning='Address for other entry VMs (UDP), host:port.',
-        read=readers.parse_address,
+        parse=readers.parse_address,
     ),
     Setting(
         name='admin',
@@ -78,12 +81,12 @@
             'bind it to an internal address: the host of --peer, and the '
             'same port on every VM.'
         ),
-        read=readers.parse_address,
+        parse=readers.parse_address,
     ),
     Setting(
         name='platform',
         meaning="URL of the platform's key-value service.",
-        read=readers.parse_url,
+        parse=readers.parse_url,
     ),
     Setting(
         name='seeds',
@@ -91,7 +94,7 @@
             'Peer addresses of other VMs, separated by commas, to learn from '
             'when the platform is down at the start.'
         ),
-        read=readers.parse_addresses,
+        parse=readers.parse_addresses,
         default='',
     ),
     Setting(
@@ -101,35 +104,35 @@
             'start with while the platform is down; a secret, so give it by '
             'the environment.'
         ),
-        read=readers.parse_ring,
+        parse=readers.parse_ring,
         default='',
     ),
     Setting(
         name='log_level',
         meaning=f'Least level of log lines: {", ".join(readers.LOG_LEVELS)}.',
-        read=readers.parse_level,
+        parse=readers.parse_level,
         default='INFO',
     ),
     Setting(
         name='trace_ratio',
         meaning='Share of new requests to trace, 0 (off) to 1.',
-        read=readers.parse_ratio,
+        parse=readers.parse_ratio,
         default='0',
     ),
     Setting(
         name='seed',
         meaning='Seed of random choices, for tests only.',
-        read=readers.parse_seed,
+        parse=readers.parse_seed,
         default='',
     ),
 )
 
 
-def read_all(given: Mapping[str, str | None]) -> dict[str, Any]:
-    """Read every setting; raise the errors of all wrong ones together."""
+def parse_all(given: Mapping[str, str | None]) -> dict[str, Any]:
+    """Parse every setting, or raise SettingsInvalidError with all errors."""
     values: dict[str, Any] = {}
     errors: list[SettingInvalidError] = []
-    for setting in CATALOG:
+    for setting in SETTINGS:
         try:
             values[setting.name] = setting.value(given.get(setting.name))
         except SettingInvalidError as error:
@@ -140,15 +143,15 @@
 
 
 def help_text(setting: Setting) -> str:
-    """Write a setting's line of --help."""
+    """Return a setting's text for --help."""
     if setting.default is None:
         return f'{setting.meaning}  [required]'
     return f'{setting.meaning}  [default: {setting.default or "none"}]'
 
 
 def options(command: Callable[..., None]) -> Callable[..., None]:
-    """Add a flag with its environment variable for every setting."""
-    for setting in reversed(CATALOG):
+    """Add the flag and environment variable of every setting to a command."""
+    for setting in reversed(SETTINGS):
         option = click.option(
             setting.flag,
             envvar=setting.variable,
--- a/burdocksill/conf/settings.py
+++ b/burdocksill/conf/settings.py
@@ -1,11 +1,11 @@
-"""Settings of one entry VM, read from flags and environment."""
+"""Settings of one entry VM, from flags and environment variables."""
 
 from collections.abc import Mapping
 from typing import Final
 
 import attrs
 
-from burdocksill.conf.catalog import read_all
+from burdocksill.conf.catalog import parse_all
 from burdocksill.conf.exceptions import (
     SettingsClashError,
     SettingsInvalidError,
@@ -22,7 +22,7 @@
 
 @attrs.frozen(kw_only=True)
 class Settings:
-    """Hold what a process learns from its flags and environment."""
+    """Hold the settings of one entry VM."""
 
     name: str
     domain: str
@@ -38,7 +38,7 @@
 
     @property
     def member(self) -> Member:
-        """Return this VM as a member of the fleet."""
+        """Return the member that this VM is in the fleet."""
         return Member(
             name=self.name,
             domain=self.domain,
@@ -47,8 +47,8 @@
 
 
 def read_settings(given: Mapping[str, str | None]) -> Settings:
-    """Read all settings, or raise SettingsInvalidError with every error."""
-    settings = Settings(**read_all(given))
+    """Parse all settings, or raise SettingsInvalidError with every error."""
+    settings = Settings(**parse_all(given))
     if settings.listen == settings.peer:
         raise SettingsInvalidError(
             errors=(
--- a/tests/steps/conf_settings.py
+++ b/tests/steps/conf_settings.py
@@ -7,7 +7,7 @@
 from behave.runner import Context
 from click.testing import CliRunner
 
-from burdocksill.conf.catalog import CATALOG
+from burdocksill.conf.catalog import SETTINGS
 from burdocksill.conf.exceptions import SettingsInvalidError
 from burdocksill.conf.settings import read_settings
 from burdocksill.entry.main import main
@@ -17,7 +17,7 @@
 
 @given('settings of an entry VM')
 def give_settings(context: Context) -> None:
-    """Give what has no default."""
+    """Give every setting that has no default."""
     context.given_settings = {
         'name': 'cz-a-entry-1',
         'domain': 'cz-a',
@@ -36,13 +36,13 @@
 
 @given('the setting "{name}" is left out')
 def leave_out(context: Context, name: str) -> None:
-    """Take one setting away."""
+    """Remove one setting."""
     context.given_settings.pop(name)
 
 
 @when('the settings are read')
 def read(context: Context) -> None:
-    """Keep the settings or their errors."""
+    """Store the settings or their errors."""
     context.settings_errors = ()
     try:
         context.settings = read_settings(context.given_settings)
@@ -61,22 +61,22 @@
     assert found == expected, found
 
 
-@then('each settings error has a cure')
-def check_cures(context: Context) -> None:
-    """Look for hints."""
+@then('each settings error has a hint')
+def check_hints(context: Context) -> None:
+    """Check the hints."""
     assert all(error.hint for error in context.settings_errors)
 
 
 @then('no settings error shows "{secret}"')
 def check_hidden(context: Context, secret: str) -> None:
-    """Look for the value in messages and cures."""
+    """Check that the value is in no message or hint."""
     for error in context.settings_errors:
         assert secret not in str(error), str(error)
 
 
 @then('the settings are valid')
 def check_valid(context: Context) -> None:
-    """Look for errors."""
+    """Expect no errors."""
     assert not context.settings_errors, context.settings_errors
 
 
@@ -88,58 +88,60 @@
 
 @when('burdocksill-entry is started with "{arguments}"')
 def start_wrong(context: Context, arguments: str) -> None:
-    """Run the command in this process; it ends before it serves."""
-    context.ended = CliRunner().invoke(main, arguments.split())
-
-
-@given('settings of an entry VM on an address that is taken')
-def take_address(context: Context) -> None:
-    """Hold the admin port; a platform is never asked."""
-    holder = socket.socket()
-    holder.bind(('127.13.9.1', 0))
-    holder.listen()
-    context.add_cleanup(holder.close)
-    port = holder.getsockname()[1]
-    context.taken_arguments = (
+    """Run the program in this process; it exits before it serves."""
+    context.outcome = CliRunner().invoke(main, arguments.split())
+
+
+@given('settings of an entry VM on an address that is in use')
+def use_address(context: Context) -> None:
+    """Listen on the admin port; no platform is needed."""
+    listener = socket.socket()
+    listener.bind(('127.13.9.1', 0))
+    listener.listen()
+    context.add_cleanup(listener.close)
+    port = listener.getsockname()[1]
+    context.used_address_arguments = (
         '--name=a --domain=a --listen=127.13.9.1:0 --peer=127.13.9.2:0 '
         f'--admin=127.13.9.1:{port} --platform=http://127.13.9.3:9'
     )
 
 
 @when('burdocksill-entry is started with these settings')
-def start_taken(context: Context) -> None:
-    """Run the command in this process; it fails before it serves."""
-    context.ended = CliRunner().invoke(main, context.taken_arguments.split())
+def start_on_used_address(context: Context) -> None:
+    """Run the program in this process; it fails before it serves."""
+    context.outcome = CliRunner().invoke(
+        main, context.used_address_arguments.split()
+    )
 
 
 @then('it ends with {code:d}')
 def check_exit(context: Context, code: int) -> None:
     """Compare the exit code."""
-    assert context.ended.exit_code == code, context.ended.output
+    assert context.outcome.exit_code == code, context.outcome.output
 
 
 @then('its error output names "{first}" and "{second}" and "{third}"')
 def check_output(context: Context, first: str, second: str, third: str) -> None:
-    """Look for all three."""
-    for flag in (first, second, third):
-        assert flag in context.ended.output, context.ended.output
+    """Look for all three texts."""
+    for text in (first, second, third):
+        assert text in context.outcome.output, context.outcome.output
 
 
 @then('docs/reference/settings.md has a row for every setting')
 def check_reference(context: Context) -> None:
-    """Compare the page with the catalog, row by row."""
+    """Compare the page with the settings in the code, row by row."""
     lines = REFERENCE.read_text().splitlines()
     rows = [line for line in lines if line.startswith('| `--')]
     expected = [
         f'| `{setting.flag}` | `{setting.variable}` | '
         f'{default_of(setting.default)} | {setting.meaning} |'
-        for setting in CATALOG
+        for setting in SETTINGS
     ]
     assert rows == expected, '\n'.join(expected)
 
 
 def default_of(default: str | None) -> str:
-    """Write a default as the page does."""
+    """Return a default as the page shows it."""
     if default is None:
         return 'required'
     return f'`{default}`' if default else 'none'
