--- a/burdocksill/conf/checks.py
+++ b/burdocksill/conf/checks.py
@@ -1,4 +1,4 @@
-"""Check the settings of an entry VM before it is started with them."""
+"""Checks of an entry VM's settings before it starts with them."""
 
 import ipaddress
 from typing import Final
@@ -17,7 +17,7 @@
 
 
 async def check_settings(context: CheckContext) -> list[CheckMessage]:
-    """Report every wrong setting, and right ones that look like slips."""
+    """Return errors for invalid settings and warnings for suspicious ones."""
     # Operators' commands share the platform's URL with entry VMs.
     others = {
         name: text
@@ -30,18 +30,18 @@
         settings = read_settings(context.settings)
     except SettingsInvalidError as invalid:
         return [error_message(error) for error in invalid.errors]
-    return slips(settings)
+    return suspicious_settings(settings)
 
 
-def slips(settings: Settings) -> list[CheckMessage]:
-    """Return warnings about settings that are valid but look wrong."""
+def suspicious_settings(settings: Settings) -> list[CheckMessage]:
+    """Return warnings about valid settings that look like mistakes."""
     found: list[CheckMessage] = []
     if ipaddress.ip_address(settings.admin.host).is_unspecified:
         found.append(
             warning(
                 1,
                 f'--admin is {settings.admin}: every network can reach it',
-                'bind it to an internal address; it has no login',
+                'bind it to an internal address; it has no authentication',
             ),
         )
     elif settings.admin.host != settings.peer.host:
@@ -50,15 +50,15 @@
                 2,
                 f'--admin is on {settings.admin.host}, --peer on '
                 f'{settings.peer.host}',
-                'bind both to one host: status looks for VMs there',
+                'bind both to one host: `burdocksill status` expects that',
             ),
         )
     if settings.seed is not None:
         found.append(
             warning(
                 3,
-                '--seed makes cookies and epochs guessable',
-                'leave it out outside tests',
+                '--seed makes cookies and epochs predictable',
+                'use it in tests only',
             ),
         )
     return found
