--- a/burdocksill/conf/readers.py
+++ b/burdocksill/conf/readers.py
@@ -1,4 +1,4 @@
-"""Read the text of one setting; every error names value and cure."""
+"""Parsers of single settings; each error has the value and a hint."""
 
 import ipaddress
 import math
@@ -19,38 +19,38 @@
 from burdocksill.flows.keys import KeyRing, decode_ring
 from burdocksill.network.protocols import Address
 
-LARGEST_PORT: Final = 65535
+MAX_PORT: Final = 65535
 LOG_LEVELS: Final = ('DEBUG', 'INFO', 'WARNING', 'ERROR')
 URL_SCHEMES: Final = ('http', 'https')
 
 
 def parse_address(setting: str, text: str) -> Address:
-    """Read host:port; name the setting, the value and the cure."""
+    """Parse host:port, or raise SettingAddressError."""
     host, separator, port = text.rpartition(':')
-    cure = 'write an IP address and a port, as in 10.0.0.1:5683'
-    if not separator or not port.isdecimal() or int(port) > LARGEST_PORT:
+    hint = 'write an IP address and a port, as in 10.0.0.1:5683'
+    if not separator or not port.isdecimal() or int(port) > MAX_PORT:
         raise SettingAddressError(
             message=f'{setting} is {text!r}',
-            hint=cure,
+            hint=hint,
         )
     try:
         ipaddress.ip_address(host)
     except ValueError as error:
         raise SettingAddressError(
             message=f'{setting} is {text!r}',
-            hint=cure,
+            hint=hint,
         ) from error
     return Address(host, int(port))
 
 
 def parse_addresses(setting: str, text: str) -> tuple[Address, ...]:
-    """Read addresses that are separated by commas; an empty text has none."""
+    """Parse addresses separated by commas; the text may be empty."""
     parts = [part.strip() for part in text.split(',')]
     return tuple(parse_address(setting, part) for part in parts if part)
 
 
 def require_name(setting: str, text: str) -> str:
-    """Refuse an empty or slashed name."""
+    """Return a name; raise SettingNameError if it is empty or has a slash."""
     if not text or '/' in text:
         raise SettingNameError(
             message=f'{setting} is {text!r}',
@@ -60,7 +60,7 @@
 
 
 def parse_url(setting: str, text: str) -> str:
-    """Read the URL of the platform."""
+    """Parse the platform's URL, or raise SettingUrlError."""
     try:
         parts = urlsplit(text)
     except ValueError:
@@ -74,25 +74,26 @@
 
 
 def parse_ring(setting: str, text: str) -> KeyRing | None:
-    """Read a key ring; an error never shows what was given."""
+    """Parse a key ring, or raise SettingKeysError without the text."""
     if not text:
         return None
     try:
         ring = decode_ring(text.encode())
-        # A key that cannot be read would be noticed only when it signs.
+        # Decode the signing key now, or an invalid one would only be noticed
+        # when it signs.
         usable = bool(ring.signing.secret_bytes)
     except (msgspec.MsgspecError, ValueError, KeysMissingError):
         usable = False
     if usable:
         return ring
     raise SettingKeysError(
-        message=f'{setting} is no key ring',
-        hint='give what `burdocksill keys export` prints, all on one line',
+        message=f'{setting} is not a key ring',
+        hint='give the output of `burdocksill keys export`, on one line',
     )
 
 
 def parse_level(setting: str, text: str) -> str:
-    """Read a level of the logs."""
+    """Parse a log level, or raise SettingChoiceError."""
     if text.upper() not in LOG_LEVELS:
         raise SettingChoiceError(
             message=f'{setting} is {text!r}',
@@ -102,7 +103,7 @@
 
 
 def parse_ratio(setting: str, text: str) -> float:
-    """Read a number between 0 and 1."""
+    """Parse a number from 0 to 1; otherwise raise SettingNumberError."""
     try:
         ratio = float(text)
     except ValueError:
@@ -116,7 +117,7 @@
 
 
 def parse_seed(setting: str, text: str) -> int | None:
-    """Read a whole number; an empty text means that there is none."""
+    """Parse an integer, or raise SettingNumberError; empty means None."""
     if not text:
         return None
     try:
