--- a/burdocksill/conf/exceptions.py
+++ b/burdocksill/conf/exceptions.py
@@ -4,69 +4,69 @@
 
 
 class SettingInvalidError(BurdocksillError):
-    """Name the setting, the wrong value and the cure."""
+    """Report an invalid setting, with its value and a hint."""
 
     code = 'burdocksill.E001'
 
 
 class SettingMissingError(SettingInvalidError):
-    """Say that a setting without a default was not given."""
+    """Report that a setting without a default was not given."""
 
     code = 'burdocksill.E002'
 
 
 class SettingAddressError(SettingInvalidError):
-    """Say that a setting is no IP address with a port."""
+    """Report a setting that is not an IP address with a port."""
 
     code = 'burdocksill.E003'
 
 
 class SettingNameError(SettingInvalidError):
-    """Say that a setting is no name that the platform can hold."""
+    """Report a setting that is not a name that the platform can store."""
 
     code = 'burdocksill.E004'
 
 
 class SettingUrlError(SettingInvalidError):
-    """Say that a setting is no URL of the platform."""
+    """Report a setting that is not a URL of the platform."""
 
     code = 'burdocksill.E005'
 
 
 class SettingChoiceError(SettingInvalidError):
-    """Say that a setting is none of the values to choose from."""
+    """Report a setting that is not one of the allowed values."""
 
     code = 'burdocksill.E006'
 
 
 class SettingNumberError(SettingInvalidError):
-    """Say that a setting is no number, or is out of its range."""
+    """Report a setting that is not a number or is out of range."""
 
     code = 'burdocksill.E007'
 
 
 class SettingKeysError(SettingInvalidError):
-    """Say that a setting is no key ring, without showing it."""
+    """Report a setting that is not a key ring, without its value."""
 
     code = 'burdocksill.E011'
 
 
 class SettingsClashError(SettingInvalidError):
-    """Say that two settings cannot both hold."""
+    """Report two settings that contradict each other."""
 
     code = 'burdocksill.E008'
 
 
 class SettingsInvalidError(BurdocksillError):
-    """Hold the errors of all wrong settings, so that one run shows all."""
+    """Report all invalid settings together."""
 
     code = 'burdocksill.E009'
 
     def __init__(self, *, errors: tuple[SettingInvalidError, ...]) -> None:
-        """Keep the errors in the order of the settings."""
-        super().__init__(message=f'{len(errors)} settings are wrong')
+        """Store the errors, in the order of the settings."""
+        super().__init__(message=f'{len(errors)} settings are invalid')
         self.errors = errors
 
     def __str__(self) -> str:
-        """Write one line for each wrong setting."""
+        """Return one line for each invalid setting."""
         return '\n'.join(str(error) for error in self.errors)
