--- a/burdocksill/conf/logs.py
+++ b/burdocksill/conf/logs.py
@@ -1,4 +1,4 @@
-"""One logging configuration for every program."""
+"""Logging configuration shared by the programs."""
 
 import logging
 import sys
@@ -7,7 +7,7 @@
 
 
 def configure_logging(*, level: str, node: str = '') -> None:
-    """Write one JSON object a line to standard error."""
+    """Log to standard error, one JSON object per line."""
     formatter = JsonFormatter(
         '{asctime}{levelname}{name}{message}',
         style='{',
