--- a/tools/observe_cost.py
+++ b/tools/observe_cost.py
@@ -1,4 +1,4 @@
-"""Measure what counters, decisions, traces and a relay cost a request."""
+"""Measure the cost per request of counters, decisions, traces and relays."""
 
 import logging
 import sys
@@ -29,14 +29,14 @@
 MICROSECONDS = 1_000_000
 
 
-def best(act: Callable[[], object]) -> float:
-    """Return the microseconds of one call, the best of several rounds."""
-    seconds = min(timeit.repeat(act, number=CALLS, repeat=ROUNDS))
+def best_microseconds(call: Callable[[], object]) -> float:
+    """Return the microseconds per call in the fastest of several rounds."""
+    seconds = min(timeit.repeat(call, number=CALLS, repeat=ROUNDS))
     return seconds / CALLS * MICROSECONDS
 
 
 def make_envelope(number: int) -> Envelope:
-    """Make a request as the entry decodes it."""
+    """Return a request as the entry VM decodes it."""
     request = CallerRequest(
         service='kiosk-ledger',
         method='GET',
@@ -47,8 +47,8 @@
     return Envelope(request=request, caller=Address('10.0.0.1', 1))
 
 
-def trace(tracing: Tracing) -> None:
-    """Make the spans of one request: two hops and the upstream."""
+def trace_request(tracing: Tracing) -> None:
+    """Create the spans of one request: two hops and the upstream."""
     with tracing.first_hop('entry'):
         traceparent = current_traceparent()
     with (
@@ -58,8 +58,8 @@
         current_traceparent()
 
 
-def relay() -> Callable[[], object]:
-    """Return a call that seals and opens the datagram of one relay."""
+def make_relay_call() -> Callable[[], object]:
+    """Return a function that seals and opens one relayed datagram."""
     sealer = EnvelopeSealer(
         sender='cz-a-entry-1',
         keys=KeyHolder(ring=rotate(None)),
@@ -74,8 +74,8 @@
     return lambda: sealer.open(sealer.seal(message))
 
 
-def ring_bytes() -> float:
-    """Return the bytes of one decision in a full ring."""
+def decision_bytes() -> float:
+    """Return the bytes per decision of a full log."""
     log = DecisionLog(clock=SystemClock())
     answer = Answer(code='CONTENT', verdict=Verdict.RAN)
     tracemalloc.start()
@@ -87,7 +87,7 @@
 
 
 def main() -> int:
-    """Print one figure a line."""
+    """Print one figure per line."""
     with open('/dev/null', 'w') as sink:
         configure_logging(level='INFO', node='vm')
         for handler in logging.getLogger().handlers:
@@ -107,29 +107,35 @@
             'verdict': 'ran',
             'reason': 'none',
         }
-        off = Tracing(node='vm', ratio=0)
-        some = Tracing(node='vm', ratio=0.01, rng=Random(1))
-        every = Tracing(node='vm', ratio=1)
+        none_traced = Tracing(node='vm', ratio=0)
+        some_traced = Tracing(node='vm', ratio=0.01, rng=Random(1))
+        all_traced = Tracing(node='vm', ratio=1)
         figures = {
-            'counter with four labels, us': best(
+            'counter with four labels, us': best_microseconds(
                 lambda: counters.add('answers', **labels)
             ),
-            'histogram, us': best(
+            'histogram, us': best_microseconds(
                 lambda: counters.record(
                     'request', 0.004, service='a', upstream='b'
                 )
             ),
-            'decision of a route, us': best(
+            'decision of a route, us': best_microseconds(
                 lambda: log.placed(envelope, 'ledger-1', member)
             ),
-            'decision of an answer, us': best(
+            'decision of an answer, us': best_microseconds(
                 lambda: log.answered(envelope, answer)
             ),
-            'relay sealed and opened, us': best(relay()),
-            'traces off, us a request': best(lambda: trace(off)),
-            'traces 1%, us a request': best(lambda: trace(some)),
-            'traces 100%, us a request': best(lambda: trace(every)),
-            'decision in the ring, bytes': ring_bytes(),
+            'relay sealed and opened, us': best_microseconds(make_relay_call()),
+            'traces off, us a request': best_microseconds(
+                lambda: trace_request(none_traced)
+            ),
+            'traces 1%, us a request': best_microseconds(
+                lambda: trace_request(some_traced)
+            ),
+            'traces 100%, us a request': best_microseconds(
+                lambda: trace_request(all_traced)
+            ),
+            'decision in the ring, bytes': decision_bytes(),
         }
     for name, figure in figures.items():
         print(f'{name}: {figure:.2f}')
