--- a/tools/packet_cost.py
+++ b/tools/packet_cost.py
@@ -1,4 +1,7 @@
-"""Measure what a packet costs a node, beside a bare socket in the same run."""
+"""Measure a node's processor time per packet.
+
+A plain socket is measured in the same run for comparison.
+"""
 
 import logging
 import os
@@ -19,29 +22,34 @@
 
 
 def per_packet(work: Callable[[], None], count: int) -> float:
-    """Return the microseconds of processor time for each of some packets."""
-    began = time.process_time()
+    """Return the processor time per packet in microseconds."""
+    started = time.process_time()
     work()
-    return (time.process_time() - began) / count * MICROSECONDS
+    return (time.process_time() - started) / count * MICROSECONDS
 
 
-def bare_socket() -> float:
-    """Receive and send datagrams of 31 bytes on loopback, and nothing else."""
-    near = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    near.bind(('127.0.0.1', 0))
-    address = near.getsockname()
+def plain_socket() -> float:
+    """Return the cost of sending and receiving 31 bytes on loopback."""
+    endpoint = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    endpoint.bind(('127.0.0.1', 0))
+    address = endpoint.getsockname()
     payload = bytes(31)
 
     def work() -> None:
         for _ in range(PACKETS):
-            near.sendto(payload, address)
-            near.recv(2048)
+            endpoint.sendto(payload, address)
+            endpoint.recv(2048)
 
     return per_packet(work, PACKETS)
 
 
-def decisions(upstreams: int, flows: int, *, logs: bool) -> tuple[float, float]:
-    """Return the cost of an opening and of a packet of an open flow."""
+def decision_costs(
+    upstreams: int,
+    flows: int,
+    *,
+    logs: bool,
+) -> tuple[float, float]:
+    """Return the cost of an opening packet and of a packet of an open flow."""
     world = PacketWorld(seed=1)
     world.put_manifest(1, {ROUTE_PORT: 'ledger'})
     for number in range(upstreams):
@@ -56,7 +64,7 @@
         ),
     ]
     logging.getLogger().setLevel(logging.INFO if logs else logging.WARNING)
-    openings = [opening(world, number) for number in range(flows)]
+    openings = [make_opening(world, number) for number in range(flows)]
     opened = min(flows, PACKETS)
     now = world.timeline.now
 
@@ -66,21 +74,21 @@
 
     opening_cost = per_packet(open_all, flows)
     echo = next(iter(forwarder.upstreams.by_echo)).to_bytes(4, 'big')
-    following = [
+    flow_packets = [
         payload[:2] + echo + payload[6:30] + b'\x40'
         for payload in openings[-opened:]
     ]
 
-    def follow_all() -> None:
+    def forward_all() -> None:
         for _ in range(PACKETS // opened):
-            for payload in following:
+            for payload in flow_packets:
                 forwarder.decide(payload, now)
 
-    cost = per_packet(follow_all, PACKETS // opened * opened)
+    cost = per_packet(forward_all, PACKETS // opened * opened)
     return opening_cost, cost
 
 
-def opening(world: PacketWorld, number: int) -> bytes:
+def make_opening(world: PacketWorld, number: int) -> bytes:
     """Return the opening packet of one of many flows."""
     sent: list[bytes] = []
     flow = world.open_flow('a')
@@ -94,19 +102,19 @@
 
 def main() -> int:
     """Print a table."""
-    print(f'bare socket, one in and out: {bare_socket():.1f} us')
+    print(f'bare socket, one in and out: {plain_socket():.1f} us')
     print('upstreams  flows    logs  opening us  open flow us')
     for upstreams in UPSTREAM_COUNTS:
-        show(upstreams, FLOW_COUNTS[0], logs=False)
+        print_row(upstreams, FLOW_COUNTS[0], logs=False)
     for flows in FLOW_COUNTS:
-        show(UPSTREAM_COUNTS[0], flows, logs=False)
-    show(UPSTREAM_COUNTS[0], FLOW_COUNTS[0], logs=True)
+        print_row(UPSTREAM_COUNTS[0], flows, logs=False)
+    print_row(UPSTREAM_COUNTS[0], FLOW_COUNTS[0], logs=True)
     return 0
 
 
-def show(upstreams: int, flows: int, *, logs: bool) -> None:
+def print_row(upstreams: int, flows: int, *, logs: bool) -> None:
     """Print one row."""
-    opened, followed = decisions(upstreams, flows, logs=logs)
+    opened, followed = decision_costs(upstreams, flows, logs=logs)
     print(
         f'{upstreams:9} {flows:7} {"on" if logs else "off":>6}'
         f'{opened:12.1f}{followed:14.1f}',
