--- a/tools/reader_cost.py
+++ b/tools/reader_cost.py
@@ -1,4 +1,4 @@
-"""Measure what a reader spends on each ask of another node."""
+"""Measure a reader's processor time per request of a follower."""
 
 import socket
 import time
@@ -18,44 +18,44 @@
 from burdocksill_lab.packets.world import ROUTE_PORT, PacketWorld
 
 ASKS: Final = 2_000
-# A second's asks of 714 followers, evenly spread.
+# The interval between requests when 714 followers each ask every 1.6 s.
 GAP_SECONDS: Final = 1.6 / 714
 MICROSECONDS: Final = 1_000_000
 
 
 async def serve(exchange: PeerExchange, reader: Address) -> tuple[float, float]:
-    """Answer asks one by one; return the processor time with and without."""
-    plain = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    """Return the processor seconds with and without requests to answer."""
+    sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     payload = encode_update_request(
         UpdateRequest(
             token=1, revision=exchange.publisher.store_cache.revision
         ),
     )
-    with plain:
-        idle = await spend(plain, payload, None)
+    with sender:
+        idle = await send_at_interval(sender, payload, None)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(exchange.receive)
-            busy = await spend(plain, payload, reader)
+            busy = await send_at_interval(sender, payload, reader)
             nursery.cancel_scope.cancel()
     return busy, idle
 
 
-async def spend(
-    plain: socket.socket,
+async def send_at_interval(
+    sender: socket.socket,
     payload: bytes,
     reader: Address | None,
 ) -> float:
-    """Send asks at their pace, or only wait as long; return seconds."""
-    began = time.process_time()
+    """Send requests at their interval, or only wait; return the seconds."""
+    started = time.process_time()
     for _ in range(ASKS):
         if reader is not None:
-            plain.sendto(payload, (reader.host, reader.port))
+            sender.sendto(payload, (reader.host, reader.port))
         await trio.sleep(GAP_SECONDS)
-    return time.process_time() - began
+    return time.process_time() - started
 
 
 async def main() -> None:
-    """Print the cost of an ask."""
+    """Print the cost of one request."""
     world = PacketWorld(seed=1)
     world.put_manifest(1, {ROUTE_PORT: 'ledger'})
     core = world.add_node('a').core
