--- a/tools/start_cost.py
+++ b/tools/start_cost.py
@@ -1,10 +1,10 @@
-"""Measure what a node's start costs up to its first forwarded packet.
+"""Measure a node's processor time from start to its first forwarded packet.
 
     python -m tools.start_cost [--before REVISION] [--rounds N]
 
-Compares the processor time from exec to the first packet at an upstream with
-that of a bare interpreter, in the same run; of this tree, and of a revision
-before if one is named.
+The time from exec to the first packet at an upstream is compared with that of
+a bare interpreter in the same run, for this tree and, if given, an earlier
+revision.
 """
 
 import base64
@@ -41,18 +41,18 @@
 NODE_HOST: Final = '127.31.0.1'
 REVISION: Final = 7
 PAUSE_SECONDS: Final = 0.002
-LONGEST_SECONDS: Final = 20.0
+TIMEOUT_SECONDS: Final = 20.0
 NANOSECONDS: Final = 1e9
 
 
 class Store(BaseHTTPRequestHandler):
-    """Answer each reading with one page."""
+    """Answer every request with one page of the store."""
 
     protocol_version = 'HTTP/1.1'
     items: tuple[dict[str, object], ...] = ()
 
     def do_GET(self) -> None:
-        """Send the page, whatever is asked."""
+        """Send the page, whatever the path."""
         body = json.dumps(
             {'items': self.items, 'HasMore': False, 'AsOf': REVISION},
         ).encode()
@@ -66,7 +66,7 @@
 
 
 def store_items(upstream_port: int) -> tuple[dict[str, object], ...]:
-    """Return a manifest and the upstreams of a small deployment."""
+    """Return a manifest and ten upstreams as a page's items."""
     world = PacketWorld(seed=1)
     world.put_manifest(1, {ROUTE_PORT: 'ledger'})
     for number in range(10):
@@ -87,7 +87,7 @@
     )
 
 
-def opening(port: int) -> bytes:
+def opening_packet(port: int) -> bytes:
     """Return the first packet of a client's flow."""
     return HEADER.pack(
         0,
@@ -104,7 +104,7 @@
 
 
 def first_packet_seconds(folder: Path, tree: Path, store_port: int) -> float:
-    """Return a start's processor seconds up to its first packet."""
+    """Start a node; return its processor seconds up to the first packet."""
     upstream = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     upstream.bind((HOST, 0))
     upstream.settimeout(PAUSE_SECONDS)
@@ -135,37 +135,37 @@
     upstream: socket.socket,
     node: tuple[str, int],
 ) -> float:
-    """Send openings until one arrives; return what the process has used."""
+    """Send openings until one arrives; return the processor seconds used."""
     client = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    latest = time.monotonic() + LONGEST_SECONDS
+    deadline = time.monotonic() + TIMEOUT_SECONDS
     number = 1024
     with client:
-        while time.monotonic() < latest:
+        while time.monotonic() < deadline:
             number += 1
-            client.sendto(opening(number), node)
+            client.sendto(opening_packet(number), node)
             with suppress(TimeoutError):
                 upstream.recv(2048)
-                spent = Path(f'/proc/{pid}/schedstat').read_text()
-                return int(spent.split()[0]) / NANOSECONDS
-    raise TimeoutError(f'no packet within {LONGEST_SECONDS} s')
+                schedstat = Path(f'/proc/{pid}/schedstat').read_text()
+                return int(schedstat.split()[0]) / NANOSECONDS
+    raise TimeoutError(f'no packet within {TIMEOUT_SECONDS} s')
 
 
 def free_port() -> int:
-    """Return a port that nobody uses now."""
+    """Return an unused port."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
         probe.bind((NODE_HOST, 0))
         return int(probe.getsockname()[1])
 
 
 def environment(folder: Path, fields: dict[str, str]) -> dict[str, str]:
-    """Return the variables of a process that keeps bytecode in a folder."""
-    kept = {
+    """Return the environment of a process with its bytecode in a folder."""
+    inherited = {
         name: text
         for name, text in os.environ.items()
         if not name.startswith('PYTHON')
     }
     return {
-        **kept,
+        **inherited,
         'PYTHONPYCACHEPREFIX': str(folder / 'bytecode'),
         'PYTHONPATH': sysconfig.get_path('purelib'),
         **fields,
@@ -193,7 +193,7 @@
     bare: list[float] = []
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        # The first start writes the bytecode that a build would have written.
+        # The first start writes the bytecode, as a build would.
         first_packet_seconds(folder, tree, server.server_port)
         time.sleep(PAUSE_SECONDS)
         for _ in range(rounds):
@@ -207,7 +207,7 @@
 
 
 def report(name: str, tree: Path, rounds: int) -> float:
-    """Print the figures of a tree and return how many times bare it takes."""
+    """Print a tree's figures; return their ratio to a bare interpreter."""
     start, bare = measure(tree, rounds)
     print(
         f'{name}: {start * 1000:.0f} ms to the first packet, '
@@ -220,7 +220,7 @@
 @click.option('--before', default='', help='A revision to compare with.')
 @click.option('--rounds', default=9, help='Starts of each.')
 def main(before: str, rounds: int) -> None:
-    """Compare the start of this tree with that of a revision."""
+    """Measure the start of this tree and of an earlier revision."""
     if before:
         with tempfile.TemporaryDirectory() as name:
             archive = subprocess.run(
