--- a/tools/tally.py
+++ b/tools/tally.py
@@ -1,4 +1,4 @@
-"""Count results against the list of known faults."""
+"""Counting of test results, with a list of known failures."""
 
 from typing import Final
 
@@ -20,7 +20,7 @@
 class Tally:
     """Count results and print the failures.
 
-    A known fault excuses the one test that it names in full, and no other.
+    A known failure excuses only the test whose full name it gives.
     """
 
     passed: int = 0
@@ -47,11 +47,11 @@
         print(f'FAILED {name}\n{output}')
 
     def skip(self, name: str) -> None:
-        """Note a scenario that said itself why it did not run."""
+        """Record a scenario that skipped itself."""
         self.not_run.append(name)
 
     def check_known_red(self) -> None:
-        """Fail a list that is too long or names a test that is not there."""
+        """Fail when the list is too long or names a test that did not run."""
         if len(self.red) > KNOWN_RED_LIMIT:
             self.fail(f'KNOWN-RED.txt has more than {KNOWN_RED_LIMIT} lines')
         for red in self.red:
@@ -59,13 +59,13 @@
                 self.fail(f'KNOWN-RED.txt names no test: {red.line}')
 
     def fail(self, name: str) -> None:
-        """Count a failure that no known fault excuses."""
+        """Count a failure that is not on the list of known failures."""
         self.failed += 1
         print(f'FAILED {name}')
 
 
 def read_known_red(text: str) -> tuple[KnownRed, ...]:
-    """Read the list; the test's name ends at the first separator."""
+    """Parse the list; a test's name ends at the first separator."""
     return tuple(
         KnownRed(test=line.partition(SEPARATOR)[0].strip(), line=line)
         for line in text.splitlines()
