--- a/tools/verify.py
+++ b/tools/verify.py
@@ -16,7 +16,7 @@
 ROOT: Final = Path(__file__).resolve().parent.parent
 BIN: Final = Path(sys.executable).parent
 TESTS: Final = ROOT / 'tests'
-# Its scenarios take longest, so each runs by itself.
+# The slowest feature, so each of its scenarios is run separately.
 PROOFS: Final = str(TESTS / 'lab' / 'promises.feature')
 SCENARIO_LINES: Final = ('      | ', '  Scenario:')
 KNOWN_RED: Final = ROOT / 'KNOWN-RED.txt'
@@ -37,15 +37,15 @@
     'lab/soak.feature',
     'packets/explaining.feature',
 )
-# The scenarios of promises that nobody has proved yet skip themselves. They
-# are printed as not run; a scenario skipped anywhere else counts as failed.
+# Scenarios of promises without a proof skip themselves and are printed as not
+# run. A scenario that is skipped in any other feature counts as failed.
 MAY_SKIP: Final = 'tests/lab/promises.feature: '
 
 
 def run_check(tally: Tally, name: str, command: tuple[str, ...]) -> None:
-    """Run one linter or program to its end."""
+    """Run one linter or program and count its result."""
     try:
-        done = subprocess.run(
+        completed = subprocess.run(
             [BIN / command[0], *command[1:]],
             cwd=ROOT,
             capture_output=True,
@@ -56,16 +56,16 @@
     except subprocess.TimeoutExpired:
         tally.add(name, good=False, output=f'no end in {CHECK_SECONDS} s')
         return
-    good = done.returncode == 0
+    good = completed.returncode == 0
     print(f'{"ok    " if good else "failed"} {name}', flush=True)
-    tally.add(name, good=good, output=done.stdout + done.stderr)
+    tally.add(name, good=good, output=completed.stdout + completed.stderr)
 
 
 def run_features(tally: Tally) -> None:
     """Run all features and count each scenario, in the order of the files.
 
-    Features on the virtual clock run side by side; those that start real
-    processes run alone, so that they do not starve each other.
+    Features on the virtual clock run in parallel. Those that start real
+    processes run one at a time, as they would slow each other down.
     """
     features = sorted(str(path) for path in TESTS.rglob('*.feature'))
     alone = [path for path in features if path.endswith(REAL_PROCESSES)]
@@ -88,7 +88,7 @@
 
 
 def split(path: str) -> list[str]:
-    """Return the feature, or each scenario of the one that takes long."""
+    """Return the units to run: a feature, or each scenario of PROOFS."""
     if path != PROOFS:
         return [path]
     lines = Path(path).read_text().splitlines()
@@ -102,13 +102,13 @@
 
 
 def workers() -> int:
-    """Return how many features run side by side."""
+    """Return how many features run in parallel."""
     return max(1, (os.cpu_count() or 1) - 2)
 
 
 @attrs.frozen(kw_only=True)
 class Report:
-    """Hold what behave told of one feature."""
+    """Hold the result of one run of behave."""
 
     code: int
     output: str
@@ -116,7 +116,7 @@
 
 
 def run_feature(path: str) -> Report:
-    """Run one feature in a process of its own."""
+    """Run one feature in its own process."""
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / 'report.json'
         command = [
@@ -129,7 +129,7 @@
             path,
         ]
         try:
-            done = subprocess.run(
+            completed = subprocess.run(
                 command,
                 cwd=ROOT,
                 check=False,
@@ -138,13 +138,13 @@
                 timeout=FEATURE_SECONDS,
             )
         except subprocess.TimeoutExpired:
-            late = f'no end in {FEATURE_SECONDS} s'
-            return Report(code=2, output=late, features=[])
-        told = json.loads(report.read_text()) if report.exists() else []
+            timed_out = f'no end in {FEATURE_SECONDS} s'
+            return Report(code=2, output=timed_out, features=[])
+        features = json.loads(report.read_text()) if report.exists() else []
     return Report(
-        code=done.returncode,
-        output=done.stdout + done.stderr,
-        features=told,
+        code=completed.returncode,
+        output=completed.stdout + completed.stderr,
+        features=features,
     )
 
 
@@ -168,7 +168,7 @@
 
 
 def belongs(unit: str, scenario: dict[str, Any]) -> bool:
-    """Return True for a scenario that a run was asked for."""
+    """Return True for a scenario that the unit names."""
     line = scenario['location'].rpartition(':')[2]
     return unit.endswith(('.feature', f':{line}'))
 
@@ -178,7 +178,7 @@
     feature: dict[str, Any],
     scenario: dict[str, Any],
 ) -> None:
-    """Count one scenario under its file and name, which no edit moves."""
+    """Count one scenario under its file and name, as line numbers change."""
     path = feature['location'].rpartition(':')[0]
     name = f'{path}: {scenario["name"]}'
     if scenario['status'] == 'skipped' and name.startswith(MAY_SKIP):
@@ -188,14 +188,14 @@
 
 
 def known_red() -> tuple[KnownRed, ...]:
-    """Read the faults that are known and not mended yet."""
+    """Return the known failures, none without the file."""
     if not KNOWN_RED.exists():
         return ()
     return read_known_red(KNOWN_RED.read_text())
 
 
 def main() -> int:
-    """Run everything; the last line is the verdict."""
+    """Run everything and print the totals on the last line."""
     tally = Tally(red=known_red())
     for name, command in CHECKS:
         run_check(tally, name, command)
