--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools of this repository's own development."""
+"""Development tools of this repository."""
--- a/tools/pages.py
+++ b/tools/pages.py
@@ -1,4 +1,4 @@
-"""Write the pages that are made from the code."""
+"""Generate the documentation pages that are made from the code."""
 
 import importlib
 import pkgutil
@@ -13,9 +13,9 @@
 HEAD = """\
 # Error codes
 
-Every error has a stable code, names what is wrong and, where there is one,
-the cure. The first digit tells the slice: 0 settings, 1 the platform and the
-admin interface, 2 documents, 3 flows, 4 requests, 5 other entry VMs,
+Every error has a stable code, a message and, where possible, a hint that says
+how to correct it. The first digit tells the area: 0 settings, 1 the platform
+and the admin interface, 2 documents, 3 flows, 4 requests, 5 other entry VMs,
 6 upstreams, 7 callers, 8 membership, 9 the lab.
 
 `python -m tools.pages` writes this page from the code;
@@ -27,19 +27,19 @@
 
 
 def all_errors() -> list[type[BurdocksillError]]:
-    """Return every error that has a code of its own, by code."""
+    """Return every error class that defines a code, ordered by code."""
     for package in (burdocksill, burdocksill_lab):
         prefix = f'{package.__name__}.'
         for found in pkgutil.walk_packages(package.__path__, prefix):
             importlib.import_module(found.name)
     found_errors: set[type[BurdocksillError]] = set()
-    waiting = [BurdocksillError]
-    while waiting:
-        for error in waiting.pop().__subclasses__():
-            waiting.append(error)
+    unvisited = [BurdocksillError]
+    while unvisited:
+        for error in unvisited.pop().__subclasses__():
+            unvisited.append(error)
             if 'code' in vars(error):
                 found_errors.add(error)
-    # A class with attrs slots is made twice; the later one is in use.
+    # attrs creates a class with slots twice; the second one is in use.
     by_name = {error.__name__: error for error in found_errors}
     return sorted(by_name.values(), key=lambda error: error.code)
 
