--- a/tests/admin/in_force.feature
+++ b/tests/admin/in_force.feature
@@ -5,11 +5,11 @@
   break that the operator believes to have been moved.
 
   Scenario: A partitioned VM is named until the partition heals
-    Given a watched fleet of three entry VMs and three upstreams
+    Given a monitored fleet of three entry VMs and three upstreams
     When the VM in "cz-c" is partitioned from the fleet and the platform
     And an operator takes "cz-b" out and waits 5 s
     Then the record is in force on 2 VMs and not on "cz-c-entry-1"
     And the screen says "cz-b: cooling; NOT known on cz-c-entry-1"
-    When the partition of the watched fleet heals
+    When the partition of the monitored fleet heals
     And the operator waits again for 10 s
     Then the record is in force on 3 VMs
--- a/tests/admin/status.feature
+++ b/tests/admin/status.feature
@@ -4,7 +4,7 @@
   refused.
 
   Scenario: Status finds every VM from one of them while the platform is down
-    Given a watched fleet of three entry VMs and three upstreams
+    Given a monitored fleet of three entry VMs and three upstreams
     When the platform goes down and the VM in "cz-c" dies
     And status is asked of the VM in "cz-b"
     Then status shows 2 VMs that answer and "cz-c-entry-1" that does not
@@ -18,27 +18,27 @@
       | REFUSED IN THE LAST MINUTE  none       |
 
   Scenario: A flow is explained by its cookie from all VMs' decisions
-    Given a watched fleet of three entry VMs and three upstreams
-    When a watched caller sends 3 requests
+    Given a monitored fleet of three entry VMs and three upstreams
+    When a monitored caller sends 3 requests
     And its cookie is explained
     Then the explanation names upstream "ledger-1" and owner "cz-a-entry-1"
     And the explanation has 3 answers that ran
     And the explanation begins with the placement of the flow
 
   Scenario: A refused request is explained and counted with its reason
-    Given a watched fleet of three entry VMs and three upstreams
-    When a watched caller asks for an unknown service
+    Given a monitored fleet of three entry VMs and three upstreams
+    When a monitored caller asks for an unknown service
     And status is asked of the VM in "cz-b"
     Then status counts a refusal "service-unknown"
     And no metric names the unknown service
 
   Scenario: An invalid query is refused with a hint
-    Given a watched fleet of three entry VMs and three upstreams
+    Given a monitored fleet of three entry VMs and three upstreams
     Then explaining "xyz" fails with "burdocksill.E104"
 
   Scenario: Metrics are in the Prometheus text format with quantiles
-    Given a watched fleet of three entry VMs and three upstreams
-    When a watched caller sends 3 requests
+    Given a monitored fleet of three entry VMs and three upstreams
+    When a monitored caller sends 3 requests
     Then the metrics of the owner contain
       | text                                          |
       | burdocksill_answers_total{                    |
--- a/tests/steps/admin_in_force.py
+++ b/tests/steps/admin_in_force.py
@@ -8,18 +8,18 @@
 from burdocksill.management.in_force import wait_in_force
 from burdocksill.management.screen import status_screen
 from burdocksill.platform.keys import domain_key
-from tests.steps.admin_status import Watched, run_with
+from tests.steps.admin_status import MonitoredWorld, run_with
 
 
 @when('the VM in "{domain}" is partitioned from the fleet and the platform')
 def partition(context: Context, domain: str) -> None:
     """Partition a VM; the operator still reaches its admin interface."""
 
-    async def action(watched: Watched) -> None:
-        nodes = watched.world.nodes
+    async def action(monitored: MonitoredWorld) -> None:
+        nodes = monitored.world.nodes
         host = nodes[f'{domain}-entry-1'].host
         others = [node.host for node in nodes.values() if node.host != host]
-        watched.world.network.cut([host], [*others, 'platform'])
+        monitored.world.network.cut([host], [*others, 'platform'])
 
     context.actions.append(action)
 
@@ -28,23 +28,25 @@
 def take_out(context: Context, domain: str, seconds: int) -> None:
     """Write the record, then wait until it is in force."""
 
-    async def action(watched: Watched) -> None:
+    async def action(monitored: MonitoredWorld) -> None:
         accepted = await set_domain(
-            watched.world.platform,
+            monitored.world.platform,
             domain=domain,
             state=DomainState.OUT,
             reason='cooling',
         )
         context.revision = accepted.revision
         context.domain_key = domain_key(domain)
-        await wait(context, watched, seconds)
+        await wait(context, monitored, seconds)
 
     run_with(context, action)
 
 
-async def wait(context: Context, watched: Watched, seconds: int) -> None:
+async def wait(
+    context: Context, monitored: MonitoredWorld, seconds: int
+) -> None:
     """Wait as the command does, then store the status screen."""
-    target = watched.target('cz-a')
+    target = monitored.target('cz-a')
     context.in_force = await wait_in_force(
         target,
         context.domain_key,
@@ -54,12 +56,12 @@
     context.screen = status_screen(await target.fleet())
 
 
-@when('the partition of the watched fleet heals')
+@when('the partition of the monitored fleet heals')
 def heal(context: Context) -> None:
     """End the partition."""
 
-    async def action(watched: Watched) -> None:
-        watched.world.network.heal()
+    async def action(monitored: MonitoredWorld) -> None:
+        monitored.world.network.heal()
 
     context.actions.append(action)
 
@@ -68,8 +70,8 @@
 def wait_again(context: Context, seconds: int) -> None:
     """Wait for the same record once more."""
 
-    async def action(watched: Watched) -> None:
-        await wait(context, watched, seconds)
+    async def action(monitored: MonitoredWorld) -> None:
+        await wait(context, monitored, seconds)
 
     run_with(context, action)
 
--- a/tests/steps/admin_status.py
+++ b/tests/steps/admin_status.py
@@ -29,7 +29,7 @@
 DOMAINS = ('cz-a', 'cz-b', 'cz-c')
 OWNER = 'cz-a-entry-1'
 SETTLE_SECONDS = 3
-Action = Callable[['Watched'], Awaitable[None]]
+Action = Callable[['MonitoredWorld'], Awaitable[None]]
 
 
 class WorldTransport(httpx.AsyncBaseTransport):
@@ -56,7 +56,7 @@
     raise PlatformUnavailableError(message='down')
 
 
-class Watched:
+class MonitoredWorld:
     """Hold a world and give access to it as operators have."""
 
     def __init__(self, world: World, context: Context) -> None:
@@ -74,7 +74,7 @@
         )
 
 
-@given('a watched fleet of three entry VMs and three upstreams')
+@given('a monitored fleet of three entry VMs and three upstreams')
 def plan(context: Context) -> None:
     """Start a list of actions, which `run_with` executes."""
     context.actions = []
@@ -102,9 +102,9 @@
                 await world.start_node(f'{domain}-entry-1', domain)
             # Long enough for every VM to know the others.
             await trio.sleep(SETTLE_SECONDS)
-            watched = Watched(world, context)
+            monitored = MonitoredWorld(world, context)
             for each in context.actions:
-                await each(watched)
+                await each(monitored)
 
     run_seeded(context.seed, script)
 
@@ -113,8 +113,8 @@
 def kill(context: Context, domain: str) -> None:
     """Kill a VM; a target never has a platform in these scenarios."""
 
-    async def action(watched: Watched) -> None:
-        watched.world.kill_node(f'{domain}-entry-1')
+    async def action(monitored: MonitoredWorld) -> None:
+        monitored.world.kill_node(f'{domain}-entry-1')
 
     context.actions.append(action)
 
@@ -123,8 +123,8 @@
 def ask_status(context: Context, domain: str) -> None:
     """Store the status of the fleet."""
 
-    async def action(watched: Watched) -> None:
-        context.fleet = await watched.target(domain).fleet()
+    async def action(monitored: MonitoredWorld) -> None:
+        context.fleet = await monitored.target(domain).fleet()
 
     run_with(context, action)
 
@@ -158,13 +158,13 @@
         assert row['line'] in screen, screen
 
 
-@when('a watched caller sends {count:d} requests')
+@when('a monitored caller sends {count:d} requests')
 def send(context: Context, count: int) -> None:
     """Open flows until one is at ledger-1, and send its requests there."""
 
-    async def action(watched: Watched) -> None:
+    async def action(monitored: MonitoredWorld) -> None:
         while True:
-            async with watched.world.session('kiosk-ledger') as session:
+            async with monitored.world.session('kiosk-ledger') as session:
                 first = await session.request('GET', ('confirmations',))
                 if first.hops[-1] != 'ledger-1':
                     continue
@@ -180,10 +180,10 @@
 def explain_cookie(context: Context) -> None:
     """Explain the caller's cookie from all VMs."""
 
-    async def action(watched: Watched) -> None:
+    async def action(monitored: MonitoredWorld) -> None:
         query = ExplainQuery(cookie=context.cookie.hex())
         context.explanation = await explain_fleet(
-            watched.target('cz-b'),
+            monitored.target('cz-b'),
             query,
         )
 
@@ -216,17 +216,17 @@
     assert (first.upstream, first.peer) == ('ledger-1', OWNER), first
 
 
-@when('a watched caller asks for an unknown service')
+@when('a monitored caller asks for an unknown service')
 def ask_unknown(context: Context) -> None:
     """Send one request to a service without a document."""
 
-    async def action(watched: Watched) -> None:
-        async with watched.world.session('nobody-knows') as session:
+    async def action(monitored: MonitoredWorld) -> None:
+        async with monitored.world.session('nobody-knows') as session:
             with suppress(CallFailedError):
                 await session.request('GET', ('x',))
         context.metrics = ''.join(
             running.node.counters.render()
-            for running in watched.world.nodes.values()
+            for running in monitored.world.nodes.values()
         )
 
     context.actions.append(action)
@@ -252,8 +252,8 @@
 def check_query(context: Context, token: str, code: str) -> None:
     """Expect the error that the admin interface reports."""
 
-    async def action(watched: Watched) -> None:
-        target = watched.target('cz-b')
+    async def action(monitored: MonitoredWorld) -> None:
+        target = monitored.target('cz-b')
         query = ExplainQuery(tokens=(token,))
         try:
             await target.admin.explain(target.entries[0], query)
@@ -269,8 +269,8 @@
 def check_metrics(context: Context) -> None:
     """Look for each text in the response."""
 
-    async def action(watched: Watched) -> None:
-        node = watched.world.nodes[OWNER].node
+    async def action(monitored: MonitoredWorld) -> None:
+        node = monitored.world.nodes[OWNER].node
         context.response = AdminApp(node=node).response('/metrics', '')
 
     run_with(context, action)
