--- a/burdocksill/callers/session.py
+++ b/burdocksill/callers/session.py
@@ -31,8 +31,8 @@
 TOKEN_BYTES: Final = 8
 MESSAGE_IDS: Final = 65536
 DEFAULT_TIMEOUT_SECONDS: Final = 10.0
-# Bounds of the backoff before a refused request is sent again. A fleet that
-# is being changed may reroute a flow several times.
+# Bounds of the exponential backoff before a refused request is sent again. A
+# fleet that is being changed may reroute a flow several times.
 FIRST_PAUSE_SECONDS: Final = 0.02
 MAX_PAUSE_SECONDS: Final = 1.0
 # An older cookie is exchanged before a request that is not idempotent: its
