--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -1,4 +1,4 @@
-"""What decides for packets on one node, and the loop that drains a socket."""
+"""State of the packet path of one node, and its receive loop."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 if TYPE_CHECKING:
     from typing import Final
 
-# One wake-up handles at most this many packets, so that readiness and the
-# store's answers are not kept waiting by a flood.
+# Most packets that one wake-up handles, so that readiness probes and answers of
+# the store are not delayed by a flood of packets.
 BATCH_LIMIT: Final = 64
-# Half of the time after which a client repeats what was not answered.
+# Half of the time after which a client retransmits unanswered data.
 BEHIND_SECONDS: Final = 0.1
 
 
 class PacketCore:
-    """Hold the state of the packet path and carry out its verdicts."""
+    """Receive packets, and forward, reset or drop them by their verdicts."""
 
     __slots__ = (
-        'behind_since',
+        'backlogged_since',
         'counts',
         'datagrams',
         'forwarder',
+        'last_packet_at',
         'store_cache',
-        'packet_at',
     )
 
     def __init__(
@@ -50,92 +50,92 @@
         forwarder: Forwarder,
         store_cache: StoreCache,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments and start with empty counters."""
         self.datagrams = datagrams
         self.forwarder = forwarder
         self.store_cache = store_cache
         self.counts: Counter[str] = Counter()
-        # When the last packet came in.
-        self.packet_at: float = float('-inf')
-        # Since when packets have waited without a break; 0 while none do.
-        self.behind_since: float = 0
+        # When the last packet was received.
+        self.last_packet_at: float = float('-inf')
+        # Since when the socket has not been empty; 0 while it is.
+        self.backlogged_since: float = 0
 
     @property
     def updater(self) -> StateUpdater:
-        """Return what puts news into force."""
+        """Return the object that applies store updates."""
         return self.store_cache.updater
 
     @property
     def progress(self) -> SyncProgress:
-        """Return how far the store is known."""
+        """Return up to which revision the store cache is in sync."""
         return self.store_cache.progress
 
     def drain(self, now: float) -> None:
-        """Handle at most one batch of waiting packets."""
+        """Handle at most one batch of waiting packets without blocking."""
         self.forwarder.flows.is_backlogged = self.is_backlogged(now)
         for _ in range(BATCH_LIMIT):
             try:
                 payload = self.datagrams.recv(LARGEST_PACKET + 1)
             except BlockingIOError:
-                self.behind_since = 0
+                self.backlogged_since = 0
                 self.expire_openings(now)
                 return
             except ConnectionError:
-                # An upstream's host refused an earlier datagram; that says
-                # nothing about those that wait here.
+                # An ICMP error for an earlier datagram to an upstream; the
+                # packets in the socket are not affected.
                 continue
-            self.packet_at = now
+            self.last_packet_at = now
             self.handle(payload, now)
-        self.behind_since = self.behind_since or now
+        self.backlogged_since = self.backlogged_since or now
 
     def expire_openings(self, now: float) -> None:
-        """Conclude from openings that nothing has followed, and count them."""
-        self.forwarder.end_lost(now)
-        self.send_due()
+        """Reset lost flows, and record and count overdue openings."""
+        self.forwarder.reset_lost_flows(now)
+        self.send_pending_resets()
         missed = self.forwarder.expire_openings(now)
         if missed:
             self.counts[Reason.OPENING_MISSED.value] += missed
 
     def seconds_until_due(self, now: float) -> float:
-        """Return the seconds until there is something to conclude."""
+        """Return the seconds until `expire_openings` has something to do."""
         if self.updater.upstreams.replaced or self.updater.upstreams.expired:
             return 0
         return max(0, self.forwarder.openings.next_due() - now)
 
     def is_backlogged(self, now: float) -> bool:
-        """Return True when packets wait here for long.
+        """Return True when the socket has not been empty for too long.
 
-        A node that was slowed down reads a client's repeat although the
-        upstream has answered long ago: it must not conclude anything from it.
+        A node that was slowed down reads a client's retransmission although
+        the upstream answered long ago, so it must not count it as a failure.
         """
-        since = self.behind_since
+        since = self.backlogged_since
         return since > 0 and now - since > BEHIND_SECONDS
 
     def handle(self, payload: bytes, now: float) -> None:
-        """Carry out the verdict on one packet."""
+        """Apply the verdict on one packet."""
         verdict = self.forwarder.decide(payload, now)
         if isinstance(verdict, Drop):
             self.counts[verdict.reason.value] += 1
             return
         self.send(verdict)
-        self.send_due()
+        self.send_pending_resets()
 
-    def send_due(self) -> None:
-        """Send the resets that a decision on others brought about."""
-        while self.forwarder.due:
-            self.send(self.forwarder.due.pop())
+    def send_pending_resets(self) -> None:
+        """Send the pending resets of other flows."""
+        while self.forwarder.pending_resets:
+            self.send(self.forwarder.pending_resets.pop())
 
     def send(self, verdict: Forward | Reset) -> None:
-        """Send a packet or a reset, or count it as lost."""
+        """Send a packet or a reset; count it if the socket refuses it."""
         self.counts[verdict.reason.value] += 1
         try:
             self.datagrams.sendto(verdict.payload, verdict.target)
         except OSError:
-            # The sender repeats it; waiting here would stop everyone else.
+            # The client retransmits it; waiting would block all other flows.
             self.counts['send-failed'] += 1
 
     def expire_idle(self, now: float) -> None:
-        """Forget what has been idle for too long, and suspicions that ended."""
+        """Expire idle flows, old upstreams and suspicions."""
         self.updater.upstreams.forget_old(now)
         self.updater.placer.outages.expire_suspicions(now)
         manifest = self.updater.table.manifest
@@ -154,7 +154,7 @@
     clock: Clock = time.monotonic,
     age_clock: Clock = boot_seconds,
 ) -> PacketCore:
-    """Compose what decides for packets."""
+    """Create the packet path of a node on a bound socket."""
     table = RoutingTable()
     upstreams = UpstreamRegistry()
     progress = SyncProgress(clock=age_clock)
--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -1,4 +1,4 @@
-"""Decide what becomes of each packet of a client."""
+"""Decide whether to forward, reset or drop each packet of a client."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from burdocksill.packets.header import (
     TAG,
     Packet,
+    build_reset,
     format_ipv4,
     read_packet,
-    reset_of,
     with_echo,
 )
 from burdocksill.packets.losses import LostUpstreamDetector
@@ -36,34 +36,34 @@
     from burdocksill.packets.messages import Route
     from burdocksill.packets.protocols import DecisionLog, Freshness
 
-# A node that knows the routes as of this time ago may say that there is none.
-# It covers a whole wait for changes, and stays below the shortest time in which
-# a new route must be in force.
-FRESH_SECONDS: Final = 2.9
-UNKNOWN_KEPT: Final = 1024
-CLIENTS_KEPT: Final = 4096
+# Highest age of the store cache at which an opening without a route or an
+# upstream is reset instead of dropped. It is longer than one watch call, and
+# shorter than the shortest time in which a new route must take effect.
+MAX_CACHE_AGE_SECONDS: Final = 2.9
+MAX_UNKNOWN_ECHOES: Final = 1024
+MAX_CLIENTS: Final = 4096
 
 
 class Forwarder:
-    """Route packets by what they carry, and new flows by placement.
+    """Forward packets of open flows by their echo and place new flows.
 
-    A reset is sent only where it is certain that a flow is lost or that no
-    upstream may serve it; what a node does not know proves nothing.
+    A reset is sent only when a flow is certainly lost or when no upstream may
+    serve it. Missing information on this node is not a reason for a reset.
     """
 
     __slots__ = (
         'client_port',
-        'due',
         'flows',
         'freshness',
-        'latest',
+        'latest_openings',
         'log',
         'losses',
         'openings',
+        'pending_resets',
         'placer',
         'refused_for_load',
         'table',
-        'unknown',
+        'unknown_echoes',
         'upstreams',
     )
 
@@ -78,7 +78,7 @@
         log: DecisionLog,
         flows: FlowTable,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments and start without flows."""
         self.client_port = client_port
         self.table = table
         self.upstreams = upstreams
@@ -86,68 +86,68 @@
         self.freshness = freshness
         self.log = log
         self.flows = flows
-        # Resets of other flows on an upstream that a packet showed to be lost.
-        self.due: list[Reset] = []
-        # Openings refused for load, by the priority of their routes.
+        # Resets to send for other flows of an upstream found to be lost.
+        self.pending_resets: list[Reset] = []
+        # Number of openings refused because of overload, by route priority.
         self.refused_for_load: Counter[int] = Counter()
-        # The latest opening of each client towards each route.
-        self.latest: dict[tuple[int, int, int], FlowKey] = {}
+        # Latest opening of each client, by client, address and port.
+        self.latest_openings: dict[tuple[int, int, int], FlowKey] = {}
         self.openings: PendingOpenings = PendingOpenings()
         self.losses: LostUpstreamDetector = LostUpstreamDetector(
             upstreams=upstreams, flows=flows
         )
-        # Echoes of no known upstream, with the time when they were first seen.
-        self.unknown: dict[int, float] = {}
+        # Echoes that match no upstream, with the time of their first packet.
+        self.unknown_echoes: dict[int, float] = {}
 
     def decide(self, payload: bytes, now: float) -> Verdict:
-        """Return what to do with a datagram that a client sent."""
+        """Return the verdict on a datagram that a client sent."""
         packet = read_packet(payload)
         if packet is None:
             return Drop(Reason.MALFORMED)
         if packet.is_syn:
             return self.open(packet, payload, now)
-        return self.carry_on(packet, payload, now)
+        return self.route_established(packet, payload, now)
 
     def open(self, packet: Packet, payload: bytes, now: float) -> Verdict:
-        """Place a new flow, or a repeat of its opening somewhere else."""
+        """Place a new flow, or a flow whose opening was not answered."""
         route = self.table.find((packet.address, packet.port))
         if route is None:
-            return self.without_route(packet)
+            return self.reject_without_route(packet)
         seen = self.flows.find(packet.flow)
         reason = Reason.OPENED
         if seen is None:
-            exclude = self.refused(packet, now)
+            exclude = self.find_refusing(packet, now)
         elif now - seen.last_seen_at < MIN_RETRANSMIT_SECONDS:
-            # Upstreams take the last echo they see, so the double has it too.
-            doubled = with_echo(payload, seen.upstream.echo)
-            return self.forward(doubled, seen.upstream, Reason.OPENED)
+            # Upstreams use the last echo they receive, so copies carry it.
+            copy = with_echo(payload, seen.upstream.echo)
+            return self.forward(copy, seen.upstream, Reason.OPENED)
         elif packet.ack:
-            exclude = self.missed(seen, now)
+            exclude = self.exclude_unanswered(seen, now)
             reason = Reason.OPENED_ELSEWHERE
         else:
             exclude = frozenset()
         chosen = self.placer.place(route, now, exclude)
         if chosen is Reason.OVERLOADED:
-            return self.refuse_for_load(packet, route)
+            return self.refuse_overloaded(packet, route)
         if isinstance(chosen, Reason):
-            return self.without_candidate(packet, now)
+            return self.reject_without_candidate(packet, now)
         flow = self.flows.start(packet.flow, chosen, now)
         self.openings.add(packet.flow, flow, now)
         self.log.decided(packet.flow, reason, chosen, packet.ack)
         return self.forward(with_echo(payload, chosen.echo), chosen, reason)
 
-    def refused(self, packet: Packet, now: float) -> frozenset[str]:
-        """Return the upstream that seems to have refused this client.
+    def find_refusing(self, packet: Packet, now: float) -> frozenset[str]:
+        """Return the upstream that probably refused this client's last flow.
 
-        A process that crashed refuses in a few milliseconds, and as its flows
-        end it has the fewest: without this, clients' second and third tries
-        would go to it as well.
+        The host of a crashed process refuses connections within milliseconds.
+        As the flows of that process end, it becomes the least loaded upstream.
+        Without this exclusion it would also get the client's next attempts.
         """
-        if len(self.latest) >= CLIENTS_KEPT:
-            self.latest.clear()
+        if len(self.latest_openings) >= MAX_CLIENTS:
+            self.latest_openings.clear()
         client = (packet.client, packet.address, packet.port)
-        before = self.latest.get(client)
-        self.latest[client] = packet.flow
+        before = self.latest_openings.get(client)
+        self.latest_openings[client] = packet.flow
         seen = self.flows.find(before) if before else None
         if seen is None or seen.open:
             return frozenset()
@@ -155,22 +155,25 @@
             seen.upstream.health.record_refusal(now)
         return frozenset((seen.upstream.record.name,))
 
-    def missed(self, seen: TrackedFlow, now: float) -> frozenset[str]:
-        """Hold an unanswered opening against its upstream."""
+    def exclude_unanswered(
+        self, seen: TrackedFlow, now: float
+    ) -> frozenset[str]:
+        """Record an unanswered opening and return its upstream's name."""
         upstream = seen.upstream
         if not self.flows.is_backlogged:
             upstream.health.record_missed(now, seen.last_seen_at)
         return frozenset((upstream.record.name,))
 
-    def end_lost(self, now: float) -> None:
-        """End the flows on upstreams that the store told are lost."""
+    def reset_lost_flows(self, now: float) -> None:
+        """Reset the flows of upstreams that store updates showed to be lost."""
         for upstream, reason in self.losses.pop_lost(now):
             self.reset_all(upstream, reason)
 
     def expire_openings(self, now: float) -> int:
-        """Draw conclusions from openings that nothing has followed; count them.
+        """Record the openings that are overdue and return their number.
 
-        To be called when no packet waits: the one that follows may be there.
+        Call this only when the socket is empty: the next packet of the flow
+        may be waiting there.
         """
         count = 0
         for opening in self.openings.pop_overdue(now):
@@ -189,31 +192,31 @@
             count += 1
         return count
 
-    def without_route(self, packet: Packet) -> Verdict:
-        """End or drop an opening for an address that has no route."""
+    def reject_without_route(self, packet: Packet) -> Verdict:
+        """Reset or drop an opening for an address without a route."""
         if not self.table.version:
             return Drop(Reason.NOT_READY)
         return self.refuse(packet, Reason.NO_ROUTE)
 
-    def without_candidate(self, packet: Packet, now: float) -> Verdict:
-        """Refuse an opening for want of an upstream, if that is certain.
+    def reject_without_candidate(self, packet: Packet, now: float) -> Verdict:
+        """Reset an opening if there is certainly no upstream, else drop it.
 
-        Entries that lapsed with the store are back two seconds after it; a
-        node that starts meanwhile reads an empty list, which proves nothing.
+        Entries that expired during a store outage are registered again within
+        two seconds after it. A node that starts in between reads an empty list.
         """
-        if not self.is_stable(now):
+        if not self.is_registry_settled(now):
             return Drop(Reason.NO_UPSTREAM)
         return self.refuse(packet, Reason.NO_UPSTREAM)
 
-    def is_stable(self, now: float) -> bool:
-        """Return True when every entry that lapsed would be back."""
+    def is_registry_settled(self, now: float) -> bool:
+        """Return True when all expired entries had time to be restored."""
         since = self.upstreams.store_healthy_since
         return since > 0 and now - since > ABSENT_SECONDS
 
-    def refuse_for_load(self, packet: Packet, route: Route) -> Verdict:
-        """Refuse an opening that no upstream would answer in time.
+    def refuse_overloaded(self, packet: Packet, route: Route) -> Verdict:
+        """Reset an opening that no upstream would answer in time.
 
-        It was sent to nobody, so that the refusal is a true one.
+        It was not sent to any upstream, so the request has certainly not run.
         """
         limiters = self.placer.limiters_of(route)
         self.log.overloaded(packet.flow, route, limiters, packet.ack)
@@ -221,13 +224,15 @@
         return self.reset_packet(packet.flow, packet.ack, Reason.OVERLOADED)
 
     def refuse(self, packet: Packet, reason: Reason) -> Verdict:
-        """Refuse an opening at once if what says so is fresh."""
-        if self.freshness.age() > FRESH_SECONDS:
+        """Reset an opening if the store cache is recent, else drop it."""
+        if self.freshness.age() > MAX_CACHE_AGE_SECONDS:
             return Drop(reason)
         return self.reset(packet, reason)
 
-    def carry_on(self, packet: Packet, payload: bytes, now: float) -> Verdict:
-        """Send a packet of an open flow to the upstream that it names."""
+    def route_established(
+        self, packet: Packet, payload: bytes, now: float
+    ) -> Verdict:
+        """Forward a packet of an open flow to the upstream of its echo."""
         if self.table.was_removed((packet.address, packet.port)):
             return self.reset(packet, Reason.ROUTE_REMOVED)
         upstream = self.upstreams.by_echo.get(packet.echo)
@@ -251,17 +256,22 @@
         return self.forward(payload, upstream, Reason.FOLLOWED)
 
     def without_upstream(self, packet: Packet, now: float) -> Verdict:
-        """End a flow whose upstream has no entry, once that is certain.
+        """Reset a flow whose upstream is certainly unknown, else drop.
 
-        The upstream may be newer than what this node has read, or its entry
-        may have lapsed with the store: so the store must have been read for
-        as long as an entry needs to come back, and read again since the
-        flow's upstream was first missed.
+        The upstream may be newer than the last read of the store, or its entry
+        may have expired during a store outage. So the store must have answered
+        for as long as an entry takes to be restored, and must have been read
+        after the first packet with this echo.
         """
-        if len(self.unknown) >= UNKNOWN_KEPT:
-            self.unknown.clear()
-        missed_at = self.unknown.setdefault(packet.echo, self.freshness.now())
-        if self.is_stable(now) and self.freshness.synced_at > missed_at:
+        if len(self.unknown_echoes) >= MAX_UNKNOWN_ECHOES:
+            self.unknown_echoes.clear()
+        first_seen_at = self.unknown_echoes.setdefault(
+            packet.echo, self.freshness.now()
+        )
+        if (
+            self.is_registry_settled(now)
+            and self.freshness.synced_at > first_seen_at
+        ):
             return self.reset(packet, Reason.UNKNOWN_ECHO)
         return Drop(Reason.UNKNOWN_ECHO)
 
@@ -271,26 +281,28 @@
         upstream: KnownUpstream,
         reason: Reason,
     ) -> None:
-        """End all other flows on a lost upstream before their next request.
+        """Reset all other flows of a lost upstream before their next request.
 
-        A request that is sent on a lost flow fails, and one that is not
-        idempotent isn't tried again; an idle client opens a new flow for it.
+        A request on a lost flow fails, and a client does not retry one that is
+        not idempotent. An idle client whose flow was reset opens a new flow.
         """
-        self.reset_all(upstream, reason, spared=sender)
+        self.reset_all(upstream, reason, excluded=sender)
 
     def reset_all(
         self,
         upstream: KnownUpstream,
         reason: Reason,
-        spared: FlowKey | None = None,
+        excluded: FlowKey | None = None,
     ) -> None:
-        """End the flows on an upstream but one."""
+        """Reset the flows of an upstream, except the excluded one."""
         if not upstream.flows:
             return
         for key in self.flows.keys_on(upstream):
-            if key != spared:
+            if key != excluded:
                 ack = self.flows.flows[key].ack
-                self.due.append(self.reset_flow(key, ack, reason, upstream))
+                self.pending_resets.append(
+                    self.reset_flow(key, ack, reason, upstream)
+                )
 
     def forward(
         self,
@@ -298,7 +310,7 @@
         upstream: KnownUpstream,
         reason: Reason,
     ) -> Forward:
-        """Mark a packet for one upstream process."""
+        """Prefix a packet with the tag of the upstream's process."""
         record = upstream.record
         return Forward(
             TAG.pack(record.tag) + payload,
@@ -312,7 +324,7 @@
         reason: Reason,
         upstream: KnownUpstream | None = None,
     ) -> Reset:
-        """End the flow of a packet."""
+        """Reset the flow of a packet."""
         return self.reset_flow(packet.flow, packet.ack, reason, upstream)
 
     def reset_flow(
@@ -322,12 +334,12 @@
         reason: Reason,
         upstream: KnownUpstream | None,
     ) -> Reset:
-        """End a client's flow, and write down why."""
+        """Reset a client's flow and log the reason."""
         self.log.decided(key, reason, upstream)
         return self.reset_packet(key, ack, reason)
 
     def reset_packet(self, key: FlowKey, ack: int, reason: Reason) -> Reset:
-        """Forget a flow and return the packet that ends it."""
+        """Stop tracking a flow and return its reset packet."""
         self.flows.end(key)
         target = (format_ipv4(key[0]), self.client_port)
-        return Reset(reset_of(key, ack), target, reason)
+        return Reset(build_reset(key, ack), target, reason)
--- a/burdocksill/packets/header.py
+++ b/burdocksill/packets/header.py
@@ -1,4 +1,7 @@
-"""The fixed header in front of each packet's data."""
+"""The fixed header of packets.
+
+The SYN packet of a flow is called its opening, as in log lines and reasons.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,7 @@
 
 
 class Packet:
-    """Hold the header of a client's packet; fields stand in wire order."""
+    """Header of a client's packet; the fields are in wire order."""
 
     __slots__ = (
         'ack',
@@ -55,7 +58,7 @@
         checksum: int,
         flags: int,
     ) -> None:
-        """Take all fields."""
+        """Store the fields."""
         self.length = length
         self.echo = echo
         self.seq = seq
@@ -69,40 +72,40 @@
 
     @property
     def is_syn(self) -> bool:
-        """Return True for the first packet of a flow and its copies."""
+        """Return True for an opening: the first packet of a flow, or a copy."""
         return self.flags & SYN != 0
 
     @property
     def flow(self) -> tuple[int, int, int, int]:
-        """Return what tells a flow from all others."""
+        """Return the key of the flow: client, its port, address and port."""
         return (self.client, self.client_port, self.address, self.port)
 
 
 def read_packet(payload: bytes) -> Packet | None:
-    """Read a client's packet; None for anything that no client would send."""
+    """Parse a client's packet; return None if no client would send it."""
     size = len(payload)
     if size < HEADER.size or size > LARGEST_PACKET:
         return None
     packet = Packet(*HEADER.unpack_from(payload))
     if packet.length != size - HEADER.size or packet.flags & ~KNOWN_FLAGS:
         return None
-    # A client never answers its own opening: SYN with ACK comes from an
-    # upstream, or from somebody who forges one.
+    # A client never sends SYN with ACK; it comes from an upstream, or is
+    # forged.
     if packet.is_syn and packet.flags & (ACK | RST | FIN):
         return None
     return packet
 
 
 def with_echo(payload: bytes, echo: int) -> bytes:
-    """Return the packet with another echo, the one field that may change."""
+    """Return the packet with another echo, the only field that may change."""
     return payload[:ECHO_OFFSET] + ECHO.pack(echo) + payload[ECHO_END:]
 
 
-def reset_of(flow: tuple[int, int, int, int], ack: int) -> bytes:
-    """Write the reset that ends a client's flow.
+def build_reset(flow: tuple[int, int, int, int], ack: int) -> bytes:
+    """Return the reset packet of a client's flow.
 
-    Its sequence number is the client's last acknowledged one: clients take a
-    reset of an open flow only near that number.
+    Its sequence number is the last one that the client acknowledged: clients
+    accept a reset of an open flow only near that number.
     """
     client, client_port, address, port = flow
     return HEADER.pack(
@@ -120,28 +123,28 @@
 
 
 def is_sequence_after(newer: int, older: int) -> bool:
-    """Return True when a sequence number lies after another, modulo 2**32."""
+    """Return True if a sequence number is after another, modulo 2**32."""
     return 0 < sequence_distance(newer, older) < HALF_SPACE
 
 
 def sequence_distance(newer: int, older: int) -> int:
-    """Return the bytes from a sequence number to another, modulo 2**32."""
+    """Return the bytes between two sequence numbers, modulo 2**32."""
     return (newer - older) & SEQUENCE_MASK
 
 
 def flow_id(flow: tuple[int, int, int, int]) -> str:
-    """Write a flow as client:port>address:port for people."""
+    """Format a flow as client:port>address:port for log lines."""
     client, client_port, address, port = flow
     return f'{format_ipv4(client)}:{client_port}>{format_ipv4(address)}:{port}'
 
 
 def format_ipv4(address: int) -> str:
-    """Write an IPv4 address that is held as a number."""
+    """Format an IPv4 address that is stored as a number."""
     return '.'.join(str(part) for part in address.to_bytes(4, 'big'))
 
 
 def parse_ipv4(text: str) -> int:
-    """Read an IPv4 address as a number; ValueError when it is none."""
+    """Parse an IPv4 address to a number; raise ValueError if invalid."""
     parts = [int(part) for part in text.split('.')]
     if len(parts) != 4:
         raise ValueError(text)
--- a/burdocksill/packets/node.py
+++ b/burdocksill/packets/node.py
@@ -1,4 +1,4 @@
-"""The tasks of one node of the packet path."""
+"""The process of one node: packets, readiness, metrics and shutdown."""
 
 import logging
 import signal
@@ -17,10 +17,10 @@
 from burdocksill.packets.settings import PacketSettings
 from burdocksill.packets.sync import StoreSync
 
-UPKEEP_SECONDS: Final = 1.0
-# Routers turn away after two probes without success.
-FEWEST_STOP_SECONDS: Final = 1.1
-# Clients of a node in rotation send several packets in this time.
+EXPIRY_INTERVAL_SECONDS: Final = 1.0
+# Routers remove a node after two failed readiness probes.
+MIN_STOP_SECONDS: Final = 1.1
+# A node in rotation receives several packets in this time.
 QUIET_SECONDS: Final = 0.4
 OK: Final = 200
 UNAVAILABLE: Final = 503
@@ -33,24 +33,24 @@
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class PacketNode:
-    """Run the packet path of one VM and tell routers of its readiness."""
+    """Run the packet path of one VM and answer readiness probes."""
 
     settings: PacketSettings
     core: PacketCore
     store_sync: StoreSync
     clock: Clock
-    # Listens for probes and readers of metrics.
+    # Listening socket for readiness probes and metrics.
     probes: socket.socket
     stopping: bool = False
     metrics_page: Any = None
 
     @property
     def is_ready(self) -> bool:
-        """Return True once routes and upstreams are known, until a stop."""
+        """Return True after the first full read of the store, until a stop."""
         return self.core.progress.is_synced and not self.stopping
 
     async def run(self, *tasks: Task) -> None:
-        """Serve until SIGTERM, then for the time that flows need to move."""
+        """Serve until SIGTERM, then until flows have moved to other nodes."""
         async with trio.open_nursery() as nursery:
             for task in tasks:
                 nursery.start_soon(task)
@@ -63,10 +63,10 @@
         logger.info('stopped')
 
     async def wait_for_stop(self) -> None:
-        """Wait for SIGTERM, then until routers have turned elsewhere.
+        """Wait for SIGTERM, then until routers use other nodes.
 
-        A stop that takes longer than it must leaves fewer nodes in rotation
-        when one is stopped after the other.
+        A stop should not take longer than needed: in a rolling restart it
+        leaves fewer nodes in rotation.
         """
         with trio.open_signal_receiver(signal.SIGTERM) as signals:
             await anext(signals)
@@ -77,41 +77,41 @@
             await self.wait_for_quiet(began)
 
     async def wait_for_quiet(self, began: float) -> None:
-        """Wait until no router sends packets, or time is up."""
-        latest = began + self.settings.stop_seconds
-        await trio.sleep(FEWEST_STOP_SECONDS)
+        """Wait until no router sends packets, or the stop time is over."""
+        deadline = began + self.settings.stop_seconds
+        await trio.sleep(MIN_STOP_SECONDS)
         while True:
             now = self.clock()
-            quiet_at = self.core.packet_at + QUIET_SECONDS
-            if now >= min(quiet_at, latest):
+            quiet_at = self.core.last_packet_at + QUIET_SECONDS
+            if now >= min(quiet_at, deadline):
                 return
-            await trio.sleep(min(quiet_at, latest) - now)
+            await trio.sleep(min(quiet_at, deadline) - now)
 
     async def forward_packets(self) -> None:
-        """Handle what the routers send, in batches."""
+        """Handle packets of the routers in batches."""
         while True:
             with trio.move_on_after(self.core.seconds_until_due(self.clock())):
                 await trio.lowlevel.wait_readable(self.core.datagrams)
             self.core.drain(self.clock())
 
     async def expire_idle(self) -> None:
-        """Forget what has been idle for too long."""
+        """Expire idle state periodically."""
         while True:
-            await trio.sleep(UPKEEP_SECONDS)
+            await trio.sleep(EXPIRY_INTERVAL_SECONDS)
             self.core.expire_idle(self.clock())
 
     async def serve_pages(self) -> None:
-        """Answer probes of readiness and readers of metrics."""
+        """Serve readiness probes and metrics over HTTP."""
         bound = trio.socket.from_stdlib_socket(self.probes)
         listener = trio.SocketListener(bound)
         await trio.serve_listeners(self.serve_stream, [listener])
 
     async def serve_stream(self, stream: trio.SocketStream) -> None:
-        """Answer one connection."""
+        """Serve one connection."""
         await serve_connection(stream, self.page)
 
     async def page(self, target: str) -> HttpReply:
-        """Return the page of a path."""
+        """Return the response for a path."""
         if target == '/-/ready':
             return HttpReply(status=OK if self.is_ready else UNAVAILABLE)
         if target == '/-/metrics':
@@ -119,9 +119,9 @@
         return HttpReply(status=NOT_FOUND)
 
     def metrics(self) -> str:
-        """Write counters and histograms; their libraries come with the first.
+        """Return the metrics page; import its libraries at the first call.
 
-        Packets are forwarded while they are imported.
+        Packets are forwarded during the import.
         """
         if self.metrics_page is None:
             loaded = import_while_serving(METRICS, self.core)
--- a/tests/steps/packets_header.py
+++ b/tests/steps/packets_header.py
@@ -1,4 +1,4 @@
-"""Steps about packets as bytes."""
+"""Steps about the bytes of packets."""
 
 from behave import given, then, when
 from behave.runner import Context
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from burdocksill.packets.flows import FlowTable
-from burdocksill.packets.header import HEADER, read_packet, reset_of
+from burdocksill.packets.header import HEADER, build_reset, read_packet
 from burdocksill.packets.verdicts import Reason
 from tests.steps.packets_world import node_of, world_of
 
@@ -23,13 +23,13 @@
 
 @given('the opening packet of the published example')
 def read_example(context: Context) -> None:
-    """Read the example."""
+    """Parse the example."""
     context.packet = read_packet(EXAMPLE)
 
 
 @then('it opens a flow of 100.64.0.7:40001 to 198.18.0.1:443')
 def check_example(context: Context) -> None:
-    """Compare every field."""
+    """Compare the parsed fields."""
     packet = context.packet
     assert packet.is_syn
     assert packet.seq == 0x11223344
@@ -37,14 +37,14 @@
     assert packet.checksum == 0xA1B2C3D5
 
 
-@then('a reset of its flow is the published one')
+@then('the reset of its flow is the published one')
 def check_reset(context: Context) -> None:
-    """Compare the bytes of a reset."""
-    assert reset_of(context.packet.flow, context.packet.ack) == RESET
+    """Compare the bytes of the reset."""
+    assert build_reset(context.packet.flow, context.packet.ack) == RESET
 
 
 def datagrams() -> st.SearchStrategy[bytes]:
-    """Draw random bytes, and openings that were tampered with."""
+    """Return random datagrams and modified openings."""
     opening = HEADER.pack(0, 0, 1, 0, 7, 8443, 1025, 0xC6120001, 1, 128)
 
     def tamper(changes: list[tuple[int, int]]) -> bytes:
@@ -62,7 +62,7 @@
 
 @when('{count:d} random datagrams reach the node')
 def fuzz(context: Context, count: int) -> None:
-    """Hand random datagrams to the node's decisions."""
+    """Get the node's verdicts on random datagrams."""
     world = world_of(context)
     node = node_of(context, 'a')
     context.verdicts = []
@@ -84,9 +84,9 @@
     one()
 
 
-@then('each was dropped, forwarded or answered with a reset')
+@then('each was dropped, forwarded or reset')
 def check_verdicts(context: Context) -> None:
-    """Look at the reasons: malformed ones are among them."""
+    """Check that both malformed packets and openings are among them."""
     reasons = {verdict.reason for verdict in context.verdicts}
     assert Reason.MALFORMED in reasons
     assert Reason.OPENED in reasons, reasons
@@ -94,21 +94,21 @@
 
 @then('the node holds at most {count:d} flows')
 def check_growth(context: Context, count: int) -> None:
-    """Count what the node remembers."""
+    """Check the size of the node's tables."""
     forwarder = node_of(context, 'a').core.forwarder
     assert len(forwarder.flows.flows) <= count, len(forwarder.flows.flows)
-    assert len(forwarder.unknown) <= 1024
+    assert len(forwarder.unknown_echoes) <= 1024
 
 
-@given('a table that keeps {count:d} flows')
+@given('a flow table with room for {count:d} flows')
 def limit_flows(context: Context, count: int) -> None:
-    """Give the node a small table."""
+    """Replace the node's flow table by a small one."""
     node_of(context, 'a').core.forwarder.flows = FlowTable(limit=count)
 
 
 @when('a packet with the flags {flags:d} reaches the node')
 def forge(context: Context, flags: int) -> None:
-    """Hand a packet with odd flags to the node."""
+    """Send a packet with some flags to the node."""
     world = world_of(context)
     payload = HEADER.pack(0, 0, 1, 5, 7, 8443, 1025, 0xC6120001, 1, flags)
     node_of(context, 'a').core.handle(payload, world.timeline.now)
@@ -116,6 +116,6 @@
 
 @then('it was counted as "{reason}"')
 def check_counted(context: Context, reason: str) -> None:
-    """Look at the counters."""
+    """Compare the counters."""
     counts = node_of(context, 'a').core.counts
     assert counts == {reason: 1}, counts
