--- a/burdocksill/packets/verdicts.py
+++ b/burdocksill/packets/verdicts.py
@@ -1,4 +1,4 @@
-"""What becomes of a packet, and why."""
+"""Verdicts on packets and their reasons."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Say what decided; log lines, counters and tests use the same words."""
+    """Reason of a verdict, as log lines, counters and tests show it."""
 
     OPENED = 'opened'
     OPENED_ELSEWHERE = 'opened-elsewhere'
@@ -28,7 +28,7 @@
 
 
 class Forward(Value):
-    """Send a packet to an upstream."""
+    """Verdict: send a packet to an upstream."""
 
     __slots__ = ('payload', 'reason', 'target')
 
@@ -38,14 +38,14 @@
         target: tuple[str, int],
         reason: Reason,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.payload = payload
         self.target = target
         self.reason = reason
 
 
 class Reset(Value):
-    """End the client's flow at once, so that it can try another."""
+    """Verdict: reset the client's flow, so that it opens another at once."""
 
     __slots__ = ('payload', 'reason', 'target')
 
@@ -55,14 +55,14 @@
         target: tuple[str, int],
         reason: Reason,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.payload = payload
         self.target = target
         self.reason = reason
 
 
 class Drop(Value):
-    """Send nothing; the client's own repeat is the next chance."""
+    """Verdict: send nothing; the client retransmits."""
 
     __slots__ = ('reason',)
 
@@ -70,7 +70,7 @@
         self,
         reason: Reason,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.reason = reason
 
 
