--- a/burdocksill/packets/decisions.py
+++ b/burdocksill/packets/decisions.py
@@ -1,4 +1,4 @@
-"""Log lines of what a node decided for packets."""
+"""Log lines of decisions on flows."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PacketDecisions:
-    """Write a line for each decision that touches a flow."""
+    """Log each decision that opens, moves or resets a flow."""
 
     def decided(
         self,
@@ -27,7 +27,7 @@
         upstream: KnownUpstream | None,
         repeat: int = 0,
     ) -> None:
-        """Write down one decision with what decided it."""
+        """Log a decision with the state of its upstream."""
         if not logger.is_enabled('INFO'):
             return
         fields: dict[str, object] = {'flow': flow_id(flow), 'repeat': repeat}
@@ -47,7 +47,7 @@
         limiters: Mapping[str, ConcurrencyLimiter],
         repeat: int,
     ) -> None:
-        """Write down a refusal with the load that it was decided by."""
+        """Log the refusal of an opening with the load of its services."""
         logger.info(
             Reason.OVERLOADED.value,
             extra={
