--- a/burdocksill/packets/reload.py
+++ b/burdocksill/packets/reload.py
@@ -1,4 +1,4 @@
-"""Take in a settings file that changes while the node runs."""
+"""Reload the settings file while the node runs."""
 
 import logging
 import signal
@@ -14,17 +14,17 @@
 from burdocksill.packets.node import PacketNode
 from burdocksill.packets.settings import PacketSettings
 
-# The file may change without a signal.
-LOOK_SECONDS: Final = 2.0
-# What a running process can't change: its sockets and what it is.
-FIXED: Final = ('name', 'domain', 'listen', 'ready', 'peer', 'cores')
+# Polling interval: the file may change without a signal.
+POLL_SECONDS: Final = 2.0
+# Settings that need a restart: the sockets and the identity of the node.
+RESTART_FIELDS: Final = ('name', 'domain', 'listen', 'ready', 'peer', 'cores')
 
 logger = logging.getLogger(__name__)
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class Reloader:
-    """Read the settings again, at SIGHUP and every few seconds."""
+    """Reload the settings at SIGHUP and at a fixed interval."""
 
     read: Callable[[], PacketSettings]
     node: PacketNode
@@ -33,16 +33,16 @@
     )
 
     async def run(self) -> None:
-        """Look for changes until the node stops."""
+        """Check for changes until the node stops."""
         with trio.open_signal_receiver(signal.SIGHUP) as signals:
             while True:
-                with trio.move_on_after(LOOK_SECONDS):
+                with trio.move_on_after(POLL_SECONDS):
                     await anext(signals)
                     logger.info('reload', extra={'cause': 'SIGHUP'})
-                await self.look()
+                await self.check_file()
 
-    async def look(self) -> None:
-        """Read the file; one that can't be read leaves all as it is."""
+    async def check_file(self) -> None:
+        """Read the file and apply changes; ignore a file that is invalid."""
         try:
             found = self.read()
         except (BurdocksillError, OSError) as error:
@@ -57,21 +57,21 @@
             await self.apply(found)
 
     async def apply(self, found: PacketSettings) -> None:
-        """Put into force what can change; say what needs a restart."""
+        """Apply changed settings; log those that need a restart."""
         before = self.node.settings
         changed = [
             name
             for name in PacketSettings.__slots__
             if getattr(found, name) != getattr(before, name)
         ]
-        fixed = [name for name in changed if name in FIXED]
+        needs_restart = [name for name in changed if name in RESTART_FIELDS]
         logger.log(
-            logging.WARNING if fixed else logging.INFO,
+            logging.WARNING if needs_restart else logging.INFO,
             'settings changed',
-            extra={'changed': changed, 'after_restart': fixed},
+            extra={'changed': changed, 'after_restart': needs_restart},
         )
         self.node.settings = found
         logging.getLogger().setLevel(found.log_level)
         early_lines.set_level(found.log_level)
         if found.platform != before.platform:
-            await self.node.store_sync.call_at(found.platform)
+            await self.node.store_sync.change_store_address(found.platform)
--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -1,4 +1,4 @@
-"""What a node knows of the store, how far and since when."""
+"""Local cache of the store: its revision, age and keys."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
     newest_of_each,
 )
 
-NOTHING_READ = float('-inf')
-# Takes the revision before, and the changes since.
+NEVER_SYNCED = float('-inf')
+# Called with the previous revision and the changes since.
 Listener = Callable[[int, Snapshot], None]
 
 
 class SyncProgress:
-    """Tell how far this node knows the store; it never goes back."""
+    """Revision and time of the last synchronisation; both only grow."""
 
-    __slots__ = ('clock', 'synced_at', 'needs_full_read', 'revision')
+    __slots__ = ('clock', 'needs_full_read', 'revision', 'synced_at')
 
     def __init__(
         self,
@@ -30,40 +30,40 @@
     ) -> None:
         """Take all fields."""
         self.clock = clock
-        # Revision of the store up to which all is known; 0: nothing is.
+        # Revision up to which all changes are known; 0: none are.
         self.revision: int = 0
-        # When all changes up to this time were known.
-        self.synced_at: float = NOTHING_READ
-        # True when changes were lost, so that the store must be read whole.
+        # Time up to which all changes are known.
+        self.synced_at: float = NEVER_SYNCED
+        # True when changes were missed, so that a full read is needed.
         self.needs_full_read = False
 
     @property
     def is_synced(self) -> bool:
-        """Return True once the store has been read whole."""
-        return self.synced_at > NOTHING_READ
+        """Return True after the first full read of the store."""
+        return self.synced_at > NEVER_SYNCED
 
     def now(self) -> float:
-        """Return the time by which ages are counted."""
+        """Return the current time of the clock for ages, in seconds."""
         return self.clock()
 
     def age(self) -> float:
-        """Return the seconds since the knowledge was known to be current."""
+        """Return the seconds since the last synchronisation."""
         return self.clock() - self.synced_at
 
     def reach(self, revision: int, synced_at: float) -> None:
-        """Take note that all changes up to a time are known."""
+        """Record that all changes up to a revision and a time are known."""
         self.revision = max(self.revision, revision)
         self.synced_at = max(self.synced_at, synced_at)
 
 
 class StoreCache:
-    """Put what the store or another node tells into force, in order.
+    """Apply changes from the store and from peers in order of revision.
 
-    Both may tell the same, or one of them late: only what is newer than all
-    before counts.
+    Both sources may deliver the same change, or deliver it late. Only changes
+    newer than the current revision are applied.
     """
 
-    __slots__ = ('clock', 'updater', 'listeners', 'progress', 'sizes')
+    __slots__ = ('clock', 'key_bytes', 'listeners', 'progress', 'updater')
 
     def __init__(
         self,
@@ -75,44 +75,44 @@
         """Take all fields."""
         self.updater = updater
         self.progress = progress
-        # Steady seconds by which upstreams' absences are counted.
+        # Monotonic clock by which absences of upstreams are measured.
         self.clock = clock
-        # Told of each change, once.
+        # Called once for each change.
         self.listeners: list[Listener] = []
-        # The keys that the store holds, with what each takes in an answer.
-        self.sizes: dict[str, int] = {}
+        # The keys in the store, with the bytes of each in an answer.
+        self.key_bytes: dict[str, int] = {}
 
     @property
     def revision(self) -> int:
-        """Return the revision up to which all is known; 0: nothing is."""
+        """Return the revision up to which all changes are known; 0: none."""
         return self.progress.revision
 
     @property
     def healthy_seconds(self) -> float:
-        """Return for how long the store was fine, below 0 in trouble."""
+        """Return for how long the store has worked; negative in an outage."""
         since = self.updater.upstreams.store_healthy_since
         return self.clock() - since if since else -1
 
     def age(self) -> float:
-        """Return the seconds since the knowledge was known to be current."""
+        """Return the seconds since the last synchronisation."""
         return self.progress.age()
 
-    def whole_bytes(self) -> int:
-        """Return about how many bytes a whole reading takes."""
-        return sum(self.sizes.values())
+    def full_read_bytes(self) -> int:
+        """Return the approximate size of a full read, in bytes."""
+        return sum(self.key_bytes.values())
 
     def apply_snapshot(self, found: Snapshot, synced_at: float) -> None:
-        """Take in a whole reading, unless a peer has told more meanwhile."""
+        """Apply a full read, unless a peer has sent a newer revision."""
         self.updater.mark_store_available(self.clock())
         if found.revision < self.progress.revision:
             return
         self.progress.needs_full_read = False
-        self.take(self.difference(found), synced_at)
+        self.apply(self.difference(found), synced_at)
 
     def apply_changes(self, found: Snapshot, synced_at: float) -> None:
-        """Take in changes that the store has told."""
+        """Apply changes that the store sent."""
         self.updater.mark_store_available(self.clock())
-        self.take_newer(found, synced_at)
+        self.apply_newer(found, synced_at)
 
     def apply_peer_changes(
         self,
@@ -121,45 +121,45 @@
         age: float,
         stable: float,
     ) -> None:
-        """Take in changes that another node has told."""
+        """Apply changes of a peer; `age` and `stable` are in seconds."""
         if stable >= 0:
             self.updater.adopt_healthy_since(self.clock() - stable)
-        self.take_newer(found, self.progress.now() - age)
+        self.apply_newer(found, self.progress.now() - age)
 
-    def take_newer(self, found: Snapshot, synced_at: float) -> None:
-        """Learn what is newer than all that is known."""
+    def apply_newer(self, found: Snapshot, synced_at: float) -> None:
+        """Apply the changes that are newer than the current revision."""
         before = self.progress.revision
-        # Versions of a manifest that were replaced meanwhile aren't decoded.
+        # Skips decoding versions of a manifest that were replaced since.
         newest = newest_of_each(found.values)
         newer = tuple(one for one in newest if one.revision > before)
-        self.take(found.evolve(values=newer), synced_at)
+        self.apply(found.evolve(values=newer), synced_at)
 
-    def take(self, newer: Snapshot, synced_at: float) -> None:
-        """Put changes into force and take note of them."""
+    def apply(self, newer: Snapshot, synced_at: float) -> None:
+        """Apply changes and record the revision."""
         self.updater.apply_values(newer, self.clock())
-        self.advance(newer, synced_at)
+        self.record_changes(newer, synced_at)
 
-    def advance(self, newer: Snapshot, synced_at: float) -> None:
-        """Take note of how far all is known, and tell others."""
+    def record_changes(self, newer: Snapshot, synced_at: float) -> None:
+        """Record the revision and key sizes, and call the listeners."""
         before = self.progress.revision
         for one in newer.values:
             if one.removed:
-                self.sizes.pop(one.key, None)
+                self.key_bytes.pop(one.key, None)
             else:
-                self.sizes[one.key] = item_bytes(one)
+                self.key_bytes[one.key] = item_bytes(one)
         self.progress.reach(newer.revision, synced_at)
         for listener in self.listeners:
             listener(before, newer)
 
     def difference(self, found: Snapshot) -> Snapshot:
-        """Return a whole reading as changes of what was known before.
+        """Return a full read as changes to the cached revision.
 
-        What the reading doesn't show was removed, by its revision at the
-        latest. What was known is not learned again: a large manifest would
-        keep packets waiting while it is decoded.
+        Keys missing from the full read were removed at its revision or before.
+        Values that are already cached are left out, as decoding a large
+        manifest again would delay packets.
         """
         before = self.progress.revision
-        gone = self.sizes.keys() - {one.key for one in found.values}
+        removed_keys = self.key_bytes.keys() - {one.key for one in found.values}
         removed = (
             StoredValue(
                 key=key,
@@ -167,7 +167,7 @@
                 revision=found.revision,
                 removed=True,
             )
-            for key in sorted(gone)
+            for key in sorted(removed_keys)
         )
         written = (one for one in found.values if one.revision > before)
         return found.evolve(values=(*written, *removed))
--- a/burdocksill/packets/store_probe.py
+++ b/burdocksill/packets/store_probe.py
@@ -1,4 +1,4 @@
-"""Ask the store whether it can be reached, when only that shows a cut."""
+"""Probe the store while a network partition is suspected."""
 
 import logging
 from typing import Final
@@ -12,62 +12,62 @@
 from burdocksill.platform.exceptions import PlatformUnavailableError
 from burdocksill.platform.store import StoreClient
 
-# A store without trouble answers in a small part of this.
-ANSWER_SECONDS: Final = 0.35
-GAP_SECONDS: Final = 0.4
+# A healthy store answers in a small fraction of this.
+PROBE_TIMEOUT_SECONDS: Final = 0.35
+PROBE_INTERVAL_SECONDS: Final = 0.4
 
 logger = logging.getLogger(__name__)
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class StoreProbe:
-    """Make cheap calls over new connections while a cut is suspected."""
+    """Make cheap reads over new connections while a partition is suspected."""
 
     isolation: IsolationDetector
     platform: StoreClient
-    # Any key of the store does.
+    # Key to read; any key will do.
     key: str
     clock: Clock
-    wanted: trio.Event = attrs.field(factory=trio.Event)
+    requested: trio.Event = attrs.field(factory=trio.Event)
     state_logger: StateLogger = attrs.field(
         factory=lambda: StateLogger(logger=logger)
     )
 
     def suspect(self) -> None:
-        """Ask soon."""
-        self.wanted.set()
+        """Request a probe."""
+        self.requested.set()
 
     async def run(self) -> None:
-        """Ask whenever that is wanted, not too often."""
+        """Probe the store when requested, at a bounded rate."""
         while True:
-            await self.wanted.wait()
-            self.wanted = trio.Event()
+            await self.requested.wait()
+            self.requested = trio.Event()
             if await self.is_silent():
                 self.isolation.record_store_timeout(self.clock())
-                self.tell('cut off, serves at home')
+                self.log_state('cut off, serves at home')
             else:
                 self.isolation.record_store_answer()
-                self.tell('in touch with the store')
-            await trio.sleep(GAP_SECONDS)
+                self.log_state('in touch with the store')
+            await trio.sleep(PROBE_INTERVAL_SECONDS)
 
     async def is_silent(self) -> bool:
-        """Return True when the store gives no answer, not even a refusal.
+        """Return True when the store gives no answer, not even an error.
 
-        An old connection may have fallen silent by itself.
+        The probe uses a new connection, as an old one may be dead.
         """
         await self.platform.connection.close()
         try:
             await self.platform.read(
                 self.key,
                 stale=True,
-                timeout=ANSWER_SECONDS,
+                timeout=PROBE_TIMEOUT_SECONDS,
             )
         except PlatformUnavailableError as error:
-            return error.silent
+            return error.timed_out
         return False
 
-    def tell(self, state: str) -> None:
-        """Write down what was found, when it differs from before."""
+    def log_state(self, state: str) -> None:
+        """Log the state if it has changed."""
         domains = ' '.join(sorted(self.isolation.other_domains()))
         self.state_logger.log_change(
             state,
--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -1,4 +1,4 @@
-"""Compose how a node learns what the store says: from it, or from a reader."""
+"""Tasks that keep the store cache in sync, from the store or from a peer."""
 
 from collections import Counter
 from functools import partial
@@ -34,7 +34,7 @@
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class Sharing:
-    """Hold what a node does to know the store without calling it."""
+    """The tasks with which nodes share reads of the store."""
 
     exchange: PeerExchange
     election_task: ElectionTask
@@ -44,9 +44,9 @@
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class StoreSync:
-    """Hold the tasks that keep a node's knowledge current."""
+    """The tasks that keep the store cache of a node in sync."""
 
-    follower: StoreWatcher
+    watcher: StoreWatcher
     platform: StoreClient
     sharing: Sharing | None = None
 
@@ -60,15 +60,15 @@
 
     @property
     def platforms(self) -> list[StoreClient]:
-        """Return the clients of the store, one for each connection."""
+        """Return the clients of the store; each has its own connection."""
         if self.sharing is None:
             return [self.platform]
-        probing = self.sharing.probe.platform
-        return [self.platform, self.sharing.platform, probing]
+        probe_platform = self.sharing.probe.platform
+        return [self.platform, self.sharing.platform, probe_platform]
 
     @property
     def calls(self) -> Counter[int]:
-        """Count the calls to the store by the status of their answers."""
+        """Return the number of calls to the store, by HTTP status."""
         calls: Counter[int] = Counter()
         for platform in self.platforms:
             calls.update(platform.calls)
@@ -76,26 +76,26 @@
 
     @property
     def received_bytes(self) -> int:
-        """Return how much the store has sent to this node."""
+        """Return the bytes received from the store."""
         return sum(platform.received_bytes for platform in self.platforms)
 
     @property
     def truncated(self) -> int:
-        """Return how many answers of the store were given up half-way."""
+        """Return the number of truncated answers of the store."""
         return sum(platform.truncated for platform in self.platforms)
 
     @property
     def observations(self) -> dict[str, int]:
-        """Count what this node told others of upstreams, and was told."""
+        """Return the number of observations sent to peers and received."""
         if self.sharing is None:
             return {}
         observations = self.sharing.exchange.observations
         return {'sent': observations.sent, 'received': observations.received}
 
     async def run(self) -> None:
-        """Follow the store and the readers until cancelled."""
+        """Watch the store and exchange updates with peers until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.follower.run)
+            nursery.start_soon(self.watcher.run)
             if self.sharing is not None:
                 nursery.start_soon(self.sharing.exchange.receive)
                 nursery.start_soon(self.sharing.exchange.request_updates)
@@ -104,12 +104,12 @@
                 nursery.start_soon(self.sharing.probe.run)
 
     async def leave(self) -> None:
-        """Let another node read for the domain, as this one stops."""
+        """Give up the reader's lease, as this node stops."""
         if self.sharing is not None:
             await self.sharing.election_task.leave()
 
-    async def call_at(self, store: Address) -> None:
-        """Call the store at another address from now on."""
+    async def change_store_address(self, store: Address) -> None:
+        """Close all connections and use another address of the store."""
         for platform in self.platforms:
             platform.connection.remote = store
             await platform.connection.close()
@@ -117,7 +117,7 @@
 
 @attrs.frozen(kw_only=True)
 class Runtime:
-    """Hold what a node runs in: real, or played by a test."""
+    """Network, clock and random generator of a node; fakes in tests."""
 
     network: Network
     clock: Clock
@@ -128,7 +128,7 @@
     settings: PacketSettings,
     runtime: Runtime,
 ) -> StoreClient:
-    """Prepare a client of the store with a connection of its own."""
+    """Return a store client with its own connection."""
     connection = HttpConnection(
         network=runtime.network,
         remote=settings.platform,
@@ -141,29 +141,31 @@
     store_cache: StoreCache,
     runtime: Runtime,
 ) -> StoreSync:
-    """Compose the tasks; with an address for peers the readings are shared."""
+    """Create the tasks; share reads with peers if an address is set."""
     platform = make_platform(settings, runtime)
-    follower = StoreWatcher(
+    watcher = StoreWatcher(
         prefix=ALL_KEYS,
         source=platform,
         store_cache=store_cache,
         rng=runtime.rng,
     )
-    store_sync = StoreSync(follower=follower, platform=platform)
+    store_sync = StoreSync(watcher=watcher, platform=platform)
     if settings.peer is not None:
-        sharing = await share(settings, settings.peer, store_cache, runtime)
+        sharing = await make_sharing(
+            settings, settings.peer, store_cache, runtime
+        )
         store_sync.sharing = sharing
-        follower.read_gate = sharing.exchange.read_gate
+        watcher.read_gate = sharing.exchange.read_gate
     return store_sync
 
 
-async def share(
+async def make_sharing(
     settings: PacketSettings,
     peer: Address,
     store_cache: StoreCache,
     runtime: Runtime,
 ) -> Sharing:
-    """Bind the socket for other nodes and compose what uses it."""
+    """Bind the socket for peers and create the tasks that use it."""
     socket = await runtime.network.open_datagrams(peer)
     directory: StateUpdater = store_cache.updater
     subscription = Subscription(
@@ -182,7 +184,7 @@
         send=socket.send,
     )
     store_cache.listeners.append(publisher.publish)
-    # A waiting call holds its connection, so leases have one of their own.
+    # A watch call occupies its connection, so leases use another one.
     platform = make_platform(settings, runtime)
     local_node = Reader(name=settings.name, address=peer)
     election = ReaderElection(
--- a/burdocksill/packets/watcher.py
+++ b/burdocksill/packets/watcher.py
@@ -1,4 +1,4 @@
-"""Follow the store: read all, then wait for changes, and know how old it is."""
+"""List the store, then watch it for changes."""
 
 import logging
 from random import Random
@@ -13,40 +13,40 @@
 from burdocksill.platform.exceptions import (
     PlatformAnswerTooLargeError,
     PlatformCompactedError,
-    PlatformCutShortError,
+    PlatformTruncatedAnswerError,
     PlatformUnavailableError,
 )
 from burdocksill.platform.values import Snapshot
 
-# The pause after a failed call, drawn between half and all of it, doubles
-# from the first to the longest. The longest is what a node lags behind a
-# store that has come back; the calls of all nodes are bounded by it.
-FIRST_PAUSE_SECONDS: Final = 0.1
-LONGEST_PAUSE_SECONDS: Final = 0.8
-# After a change the next call waits this long, so that changes that come
-# together cost one call. What can't wait, an upstream that died, is seen in
-# clients' packets first.
+# Backoff after a failed call: doubles from the first to the highest value, with
+# jitter between half and all of it. The highest value bounds both how late a
+# node notices that the store is back and the call rate of all nodes.
+FIRST_BACKOFF_SECONDS: Final = 0.1
+MAX_BACKOFF_SECONDS: Final = 0.8
+# Delay of the next call after a change, so that changes in quick succession
+# take one call. A crashed upstream, which is urgent, shows in the packets of
+# clients before that.
 BATCH_SECONDS: Final = 0.5
-# Changes are waited for until the knowledge would be this old. Other nodes
-# that rely on this one call the store themselves a little later.
-KNOWN_WITHIN_SECONDS: Final = 1.5
-SHORTEST_WAIT_SECONDS: Final = 0.05
-# An answer that is later than the wait by several times what calls take, within
-# these bounds, is not waited for any longer.
+# Highest age of the store cache that a watch call may lead to. Peers that rely
+# on this node call the store themselves a little later.
+MAX_AGE_SECONDS: Final = 1.5
+MIN_WAIT_SECONDS: Final = 0.05
+# Margin after the wait in which an answer must begin: this many times the usual
+# duration of a call, within these bounds.
 CALL_FACTOR: Final = 4.0
-SHORTEST_MARGIN_SECONDS: Final = 0.15
-LONGEST_MARGIN_SECONDS: Final = 0.7
-# Changes of this many bytes are read even where a whole reading takes less.
+MIN_MARGIN_SECONDS: Final = 0.15
+MAX_MARGIN_SECONDS: Final = 0.7
+# Changes of up to this size are read even if a full read is smaller.
 SMALL_ANSWER_BYTES: Final = 65536
 
 logger = logging.getLogger(__name__)
 
 
 class Source(Protocol):
-    """Read a prefix of the store and wait for its changes."""
+    """Client that reads a prefix of the store and waits for its changes."""
 
     async def read_prefix(self, prefix: str) -> Snapshot:
-        """Return all values below a prefix."""
+        """Return all values with a prefix."""
 
     async def changes(
         self,
@@ -57,40 +57,40 @@
         largest: float,
         margin: float,
     ) -> Snapshot:
-        """Wait for changes after a revision; none when the wait ran out.
+        """Wait up to `wait` seconds for changes after a revision.
 
-        PlatformAnswerTooLargeError for changes of more than `largest` bytes,
-        PlatformUnavailableError where no answer begins `margin` seconds after
-        the wait.
+        Raise PlatformAnswerTooLargeError for changes of more than `largest`
+        bytes, and PlatformUnavailableError if no answer begins within `margin`
+        seconds after the wait.
         """
 
 
 class ReadGate(Protocol):
-    """Tell when this node should call the store."""
+    """Decides when this node calls the store itself."""
 
     async def wait(self) -> None:
-        """Return once it should."""
+        """Return when this node should call the store."""
 
     def called(self, *, answered: bool) -> None:
-        """Take note of a call, and whether it brought knowledge."""
+        """Record a call, and whether it was answered."""
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class OpenReadGate:
-    """Call the store all the time, as a node does that knows no other."""
+    """Gate of a node without peers, which always calls the store."""
 
     async def wait(self) -> None:
         """Return at once."""
 
     def called(self, *, answered: bool) -> None:
-        """Do nothing: the next call comes anyway."""
+        """Do nothing: the next call is always allowed."""
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class StoreWatcher:
-    """Keep what is below one prefix of the store as current as it can be.
+    """Keep the store cache in sync with one prefix of the store.
 
-    One prefix holds everything, so that one waiting call is enough.
+    The empty prefix covers all keys, so that one watch call is enough.
     """
 
     prefix: str
@@ -98,24 +98,24 @@
     store_cache: StoreCache
     rng: Random
     read_gate: ReadGate = attrs.field(factory=OpenReadGate)
-    pause: float = FIRST_PAUSE_SECONDS
+    backoff: float = FIRST_BACKOFF_SECONDS
     # What the latest call took above its wait.
-    call_seconds: float = LONGEST_MARGIN_SECONDS
+    call_duration_seconds: float = MAX_MARGIN_SECONDS
     state_logger: StateLogger = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Prepare the line that tells of touch lost and regained."""
+        """Create the logger for changes of the store's state."""
         self.state_logger = StateLogger(logger=logger)
 
     async def run(self) -> None:
-        """Read, follow, and start over after each failure."""
+        """Read and watch until cancelled, with backoff after each failure."""
         while True:
             await self.read_gate.wait()
             try:
                 await self.step()
             except PlatformCompactedError as error:
-                self.failed(error)
-                # Changes are lost; only a whole reading can tell what stands.
+                self.record_failure(error)
+                # Changes were missed, so a full read is needed.
                 self.store_cache.progress.needs_full_read = True
             except PlatformAnswerTooLargeError as error:
                 logger.info(
@@ -123,18 +123,18 @@
                     extra={
                         'revision': self.store_cache.revision,
                         'expected_bytes': error.expected,
-                        'whole_bytes': self.store_cache.whole_bytes(),
+                        'whole_bytes': self.store_cache.full_read_bytes(),
                     },
                 )
                 self.store_cache.progress.needs_full_read = True
             except BurdocksillError as error:
                 self.read_gate.called(answered=False)
-                self.failed(error)
-                await trio.sleep(self.pause * self.rng.uniform(0.5, 1))
-                self.pause = min(self.pause * 2, LONGEST_PAUSE_SECONDS)
+                self.record_failure(error)
+                await trio.sleep(self.backoff * self.rng.uniform(0.5, 1))
+                self.backoff = min(self.backoff * 2, MAX_BACKOFF_SECONDS)
 
     async def step(self) -> None:
-        """Read everything once, and wait for changes from then on."""
+        """Read all keys if that is needed, else wait for changes."""
         progress = self.store_cache.progress
         asked_at = progress.now()
         if not progress.revision or progress.needs_full_read:
@@ -142,7 +142,7 @@
             self.store_cache.apply_snapshot(found, asked_at)
         else:
             found = await self.changes()
-        self.pause = FIRST_PAUSE_SECONDS
+        self.backoff = FIRST_BACKOFF_SECONDS
         self.state_logger.log_change(
             'store followed', revision=str(found.revision)
         )
@@ -151,16 +151,16 @@
             await trio.sleep(BATCH_SECONDS)
 
     async def changes(self) -> Snapshot:
-        """Wait for changes and learn them; a silent call is made once more.
+        """Wait for changes and apply them; retry once after a time-out.
 
-        A connection that fell silent shows by nothing but the missing answer.
-        Other nodes rely on this one, and would all read the store themselves
-        before a call was given up as late as one to a slow store must be.
+        A dead connection shows only by the missing answer, so the first call
+        has a short margin. With the long margin that a slow store needs, all
+        peers that rely on this node would read the store themselves meanwhile.
         """
         try:
-            return await self.ask_changes(self.wait_seconds(), self.margin())
+            return await self.watch_once(self.wait_seconds(), self.margin())
         except PlatformUnavailableError as error:
-            if not error.silent:
+            if not error.timed_out:
                 raise
             logger.info(
                 'watch made again',
@@ -170,52 +170,52 @@
                     'cause': str(error),
                 },
             )
-        return await self.ask_changes(
-            SHORTEST_WAIT_SECONDS,
-            LONGEST_MARGIN_SECONDS,
+        return await self.watch_once(
+            MIN_WAIT_SECONDS,
+            MAX_MARGIN_SECONDS,
         )
 
-    async def ask_changes(self, wait: float, margin: float) -> Snapshot:
-        """Make one call for changes, and learn them."""
+    async def watch_once(self, wait: float, margin: float) -> Snapshot:
+        """Make one watch call and apply its changes."""
         progress = self.store_cache.progress
         asked_at = progress.now()
         found = await self.source.changes(
             prefix=self.prefix,
             after=progress.revision,
             wait=wait,
-            largest=self.largest_bytes(),
+            largest=self.max_change_bytes(),
             margin=margin,
         )
-        took = progress.now() - asked_at
-        if took > wait:
-            # It was the wait that ran out: the rest is what a call takes.
-            self.call_seconds = took - wait
+        elapsed = progress.now() - asked_at
+        if elapsed > wait:
+            # The wait has run out; the rest is the duration of the call.
+            self.call_duration_seconds = elapsed - wait
         self.store_cache.apply_changes(
             found, asked_at + found.unchanged_seconds
         )
         return found
 
     def margin(self) -> float:
-        """Return how late after its wait a call may be answered."""
-        usual = self.call_seconds * CALL_FACTOR
-        return min(max(usual, SHORTEST_MARGIN_SECONDS), LONGEST_MARGIN_SECONDS)
+        """Return the seconds after the wait in which an answer must begin."""
+        usual = self.call_duration_seconds * CALL_FACTOR
+        return min(max(usual, MIN_MARGIN_SECONDS), MAX_MARGIN_SECONDS)
 
     def wait_seconds(self) -> float:
-        """Return how long the store may hold the next call."""
-        left = KNOWN_WITHIN_SECONDS - self.store_cache.age()
-        return min(max(left, SHORTEST_WAIT_SECONDS), KNOWN_WITHIN_SECONDS)
+        """Return the seconds for which the store may hold the next call."""
+        remaining = MAX_AGE_SECONDS - self.store_cache.age()
+        return min(max(remaining, MIN_WAIT_SECONDS), MAX_AGE_SECONDS)
 
-    def largest_bytes(self) -> int:
-        """Return how many bytes of changes are still worth reading.
+    def max_change_bytes(self) -> int:
+        """Return the size up to which changes are read, in bytes.
 
-        Changes hold each version of a value that was written meanwhile, a
-        whole reading the newest alone. Over a slow link a node that read more
-        than that would fall further behind with each answer.
+        Changes contain every version of a value, a full read only the newest.
+        On a slow link, a node that reads changes larger than a full read would
+        fall further behind with each answer.
         """
-        return max(self.store_cache.whole_bytes(), SMALL_ANSWER_BYTES)
+        return max(self.store_cache.full_read_bytes(), SMALL_ANSWER_BYTES)
 
-    def failed(self, error: BurdocksillError) -> None:
-        """Write down that touch is lost; what is known stays in force."""
+    def record_failure(self, error: BurdocksillError) -> None:
+        """Record and log a failed call; the cached state stays in force."""
         self.store_cache.updater.mark_store_unavailable()
         self.state_logger.log_change(
             'store lost',
@@ -223,8 +223,8 @@
             revision=str(self.store_cache.revision),
             cause=str(error),
         )
-        if isinstance(error, PlatformCutShortError):
-            # Each of them, as one that repeats means that no answer fits.
+        if isinstance(error, PlatformTruncatedAnswerError):
+            # Logged each time: if it repeats, no answer arrives in time.
             logger.warning(
                 'answer cut short',
                 extra={
--- a/burdocksill/platform/exceptions.py
+++ b/burdocksill/platform/exceptions.py
@@ -4,70 +4,70 @@
 
 
 class PlatformUnavailableError(BurdocksillError):
-    """Say that the platform did not answer; a write may have taken effect."""
+    """The platform did not answer; a write may have taken effect."""
 
     code = 'burdocksill.E101'
-    # True when nothing of an answer arrived in time: the connection may be
-    # silent for good while another one would work.
-    silent = False
+    # True when no byte of the answer arrived before the time-out: the
+    # connection may be dead while a new one would work.
+    timed_out = False
 
 
-class PlatformCutShortError(PlatformUnavailableError):
-    """Say that a call was given up while its answer was arriving."""
+class PlatformTruncatedAnswerError(PlatformUnavailableError):
+    """An answer was received only in part."""
 
     code = 'burdocksill.E109'
 
     def __init__(self, *, message: str, received: int, expected: int) -> None:
-        """Keep the bytes received, and of how many; 0 where that is unknown."""
+        """Store the bytes received and expected; 0 if unknown."""
         super().__init__(
             message=f'{message} after {received} of {expected} bytes',
-            hint='the link is slow or broken; what is in force stays',
+            hint='the link is slow or broken; the state in force is kept',
         )
         self.received = received
         self.expected = expected
 
 
 class PlatformAnswerTooLargeError(BurdocksillError):
-    """Say that an answer was not read, as it is larger than was asked for."""
+    """An answer was not read because it exceeds the caller's limit."""
 
     code = 'burdocksill.E110'
 
     def __init__(self, *, expected: int) -> None:
-        """Keep the length that the answer announced, in bytes."""
+        """Store the announced length of the answer, in bytes."""
         super().__init__(
             message=f'an answer of {expected} bytes was not read',
-            hint='read what stands now, which is less than all changes to it',
+            hint='do a full read, which is smaller than these changes',
         )
         self.expected = expected
 
 
 class PlatformReplyError(BurdocksillError):
-    """Say that the platform's answer could not be understood."""
+    """The platform's answer is malformed."""
 
     code = 'burdocksill.E102'
 
 
 class PlatformCompactedError(BurdocksillError):
-    """Say that old revisions are gone; `revision` is the oldest left."""
+    """Old revisions were compacted; `revision` is the oldest available."""
 
     code = 'burdocksill.E106'
 
     def __init__(self, *, revision: int) -> None:
-        """Keep the oldest revision that can be watched."""
+        """Store the oldest revision that can be watched."""
         super().__init__(
             message=f'revisions before {revision} were compacted',
-            hint='read what stands now and watch from there',
+            hint='do a full read and watch from its revision',
         )
         self.revision = revision
 
 
 class RecordInvalidError(BurdocksillError):
-    """Say that an entry of the store cannot be read; it names nothing."""
+    """An entry of the store is invalid and is ignored."""
 
     code = 'burdocksill.E107'
 
 
 class PlatformRefusedError(PlatformUnavailableError):
-    """Say that the platform answered, but with nothing done."""
+    """The platform refused a call, which had no effect."""
 
     code = 'burdocksill.E108'
--- a/burdocksill/platform/store.py
+++ b/burdocksill/platform/store.py
@@ -24,21 +24,20 @@
 from burdocksill.platform.exceptions import (
     PlatformAnswerTooLargeError,
     PlatformCompactedError,
-    PlatformCutShortError,
     PlatformRefusedError,
     PlatformReplyError,
+    PlatformTruncatedAnswerError,
     PlatformUnavailableError,
 )
 from burdocksill.platform.protocols import SwapResult
 from burdocksill.platform.values import Snapshot, StoredValue
 
-# Above what an answer takes to begin in trouble; beyond this it is lost.
+# Time until an answer must begin, above what a store in trouble takes.
 CALL_TIMEOUT_SECONDS: Final = 1.0
-# How long the store may hold a watch while nothing changes, if the caller
-# doesn't say.
+# Default time for which the store may hold a watch call without a change.
 WATCH_WAIT_SECONDS: Final = 2.5
-# An answer that is later than the wait by this is lost: a connection that fell
-# silent shows by nothing else.
+# Default time after the wait in which the answer must begin. A dead connection
+# shows only by a missing answer.
 WATCH_MARGIN_SECONDS: Final = 0.7
 MILLISECONDS: Final = 1000
 OK: Final = 200
@@ -49,13 +48,13 @@
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class StoreClient:
-    """Call the store, one call after the other over one connection."""
+    """Client of the store that makes one call at a time on one connection."""
 
     connection: HttpConnection
-    # Calls made, by the status of their answers; 0 stands for none.
+    # Number of calls by HTTP status; 0 for calls without an answer.
     calls: dict[int, int] = attrs.field(factory=dict)
     received_bytes: int = 0
-    # Calls that were given up while their answers were arriving.
+    # Number of calls whose answer was received only in part.
     truncated: int = 0
 
     async def call(
@@ -66,7 +65,7 @@
         timeout: float = CALL_TIMEOUT_SECONDS,
         largest: float = math.inf,
     ) -> HttpReply:
-        """Make one call; an error says that its effect is unknown."""
+        """Make one call; PlatformUnavailableError: its effect is unknown."""
         try:
             reply = await self.connection.exchange(
                 method,
@@ -87,38 +86,42 @@
             trio.TooSlowError,
         ) as error:
             self.count(0)
-            raise self.lost_answer(f'{method} {target}', error) from error
+            raise self.make_lost_answer_error(
+                f'{method} {target}', error
+            ) from error
         self.count(reply.status)
         if reply.status == GONE:
             raise PlatformCompactedError(revision=0)
         if reply.status not in {OK, CONFLICT, NOT_FOUND}:
             raise PlatformRefusedError(
                 message=f'{method} {target} answered {reply.status}',
-                hint='nothing was done; try again after a pause',
+                hint='the call had no effect; try again after a pause',
             )
         return reply
 
     def count(self, status: int) -> None:
-        """Count a call, as each of them costs."""
+        """Count a call and its received bytes."""
         self.calls[status] = self.calls.get(status, 0) + 1
         self.received_bytes += self.connection.received
 
-    def lost_answer(
+    def make_lost_answer_error(
         self,
         call: str,
         error: Exception,
     ) -> PlatformUnavailableError:
-        """Return the error for a call that got no whole answer."""
+        """Return the error for a call without a complete answer."""
         message = f'{call} got no answer: {error!r}'
         if not self.connection.received:
-            lost = PlatformUnavailableError(
+            error_without_answer = PlatformUnavailableError(
                 message=message,
-                hint='the store may be down; what is in force stays',
+                hint='the store may be down; the state in force is kept',
             )
-            lost.silent = isinstance(error, trio.TooSlowError)
-            return lost
+            error_without_answer.timed_out = isinstance(
+                error, trio.TooSlowError
+            )
+            return error_without_answer
         self.truncated += 1
-        return PlatformCutShortError(
+        return PlatformTruncatedAnswerError(
             message=message,
             received=self.connection.received,
             expected=self.connection.expected,
@@ -131,7 +134,7 @@
         stale: bool = False,
         timeout: float = CALL_TIMEOUT_SECONDS,
     ) -> StoredValue | None:
-        """Return one value, or None when the key is absent."""
+        """Return one value, None if the key is absent; see `key_target`."""
         target = key_target(key, stale=stale)
         reply = await self.call('GET', target, timeout=timeout)
         if reply.status == NOT_FOUND:
@@ -139,7 +142,7 @@
         return decode_item(decode_body(target, reply))
 
     async def read_prefix(self, prefix: str) -> Snapshot:
-        """Return all values below a prefix."""
+        """Return all values with a prefix."""
         pages = range_pages(prefix)
         target = next(pages)
         while True:
@@ -159,10 +162,11 @@
         largest: float = math.inf,
         margin: float = WATCH_MARGIN_SECONDS,
     ) -> Snapshot:
-        """Wait for changes after a revision; none when the wait ran out.
+        """Wait up to `wait` seconds for changes after a revision.
 
-        Changes of more than `largest` bytes are not read. An answer that has
-        not begun `margin` seconds after the wait is lost.
+        Raise PlatformAnswerTooLargeError for changes of more than `largest`
+        bytes, and PlatformUnavailableError if no answer begins within `margin`
+        seconds after the wait.
         """
         target = watch_target(prefix, after, round(wait * MILLISECONDS))
         timeout = wait + margin
@@ -183,7 +187,7 @@
         prefix: str,
         from_revision: int,
     ) -> AsyncGenerator[StoredValue, None]:
-        """Yield changes below a prefix, oldest first, until a call fails."""
+        """Yield changes of keys with a prefix, oldest first."""
         after = from_revision - 1
         while True:
             found = await self.changes(prefix=prefix, after=after)
@@ -201,11 +205,12 @@
     ) -> SwapResult:
         """Write if the key still has the expected revision (0: absent).
 
-        With a lease the key goes away when the lease ends.
+        With a lease, the key is removed when the lease ends.
 
-        A write whose answer was lost may take effect later, so its outcome is
-        read back: the value stands there, or the revision still does and the
-        caller may try again with the same condition.
+        If the answer is lost, the write may still take effect later, so the
+        key is read back. Either it has the new value, or it still has the
+        expected revision and PlatformUnavailableError tells the caller to try
+        again with the same condition.
         """
         body = write_body(key, value, expected_revision, lease)
         try:
@@ -221,34 +226,34 @@
         if reply.status == NOT_FOUND:
             raise PlatformRefusedError(
                 message=f'{key} was not written: lease {lease} has ended',
-                hint='begin another lease',
+                hint='request a new lease',
             )
-        # The answer shows what stands there now.
+        # The answer contains the values that are stored now.
         shown = decode_items(decode_body('/-/kv-txn', reply), 'items')
         current = next((one for one in shown if one.key == key), None)
         revision = current.revision if current else 0
         return SwapResult(accepted=False, revision=revision, current=current)
 
     async def grant_lease(self, seconds: float) -> int:
-        """Begin a lease and return its number."""
+        """Grant a lease of some seconds and return its number."""
         wanted = {'TtlMs': round(seconds * MILLISECONDS)}
         target = '/-/kv-lease'
         reply = await self.call('POST', target, json.dumps(wanted).encode())
         lease = decode_body(target, reply).get('Lease')
         if not isinstance(lease, int):
             raise PlatformReplyError(
-                message=f'a lease has the number {lease!r}',
-                hint='check that the address is that of the store',
+                message=f'the lease number is not an integer: {lease!r}',
+                hint='check the address of the store',
             )
         return lease
 
     async def keep_lease_alive(self, lease: int) -> bool:
-        """Renew a lease; False when it has ended."""
+        """Renew a lease; return False if it has ended."""
         reply = await self.call('POST', f'/-/kv-keep/{lease}')
         return reply.status == OK
 
     async def revoke_lease(self, lease: int) -> None:
-        """End a lease, and remove its keys."""
+        """Revoke a lease and remove its keys."""
         await self.call('DELETE', f'/-/kv-lease-end/{lease}')
 
     async def read_back(
@@ -257,7 +262,7 @@
         value: bytes,
         expected_revision: int,
     ) -> SwapResult:
-        """Find out what became of a write whose answer was lost."""
+        """Return the outcome of a write whose answer was lost."""
         current = await self.read(key)
         revision = current.revision if current else 0
         written = current is not None and current.value == value
