--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -1,4 +1,4 @@
-"""Put what the store says into what the packet path decides by."""
+"""Apply decoded updates of the store to the state of the packet path."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class StateUpdater:
-    """Put what was read into the routes, the domains and the upstreams."""
+    """Apply updates to the routes, failure domains, upstreams and readers."""
 
     __slots__ = (
         'decode',
@@ -45,33 +45,33 @@
         upstreams: UpstreamRegistry,
         decode: Decoder,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments and start without readers."""
         self.table = table
         self.placer = placer
         self.upstreams = upstreams
         self.decode = decode
-        # Who reads the store for which failure domain.
+        # The node that reads the store for each failure domain.
         self.readers: dict[str, ReaderEntry] = {}
-        # True once the time since which the store counts as fine is more than
-        # that of this node's start.
+        # True once the time since which the store has worked is known from a
+        # peer or from an outage, and not only from this node's start.
         self.has_adopted_healthy_since = False
 
     def apply_values(self, found: Snapshot, now: float) -> None:
-        """Take in changes, in their order."""
-        for news in self.read(found):
-            self.learn(news, now)
+        """Decode and apply changes, in their order."""
+        for update in self.decode_values(found):
+            self.apply(update, now)
 
     def mark_store_available(self, now: float) -> None:
-        """Count from now on how long the store has worked."""
+        """Record a successful call to the store."""
         if not self.upstreams.store_healthy_since:
             self.upstreams.store_healthy_since = now
 
     def adopt_healthy_since(self, since: float) -> None:
-        """Take another node's word since when the store is fine.
+        """Adopt a peer's time since which the store has worked.
 
-        What this node itself has counted from its start says nothing of the
-        time before, so the first word counts alone. Then the later of two
-        times counts: who saw no trouble may have had no call under way.
+        The first time of a peer replaces this node's own, which only says when
+        the node started. After that the later time wins, because a node
+        without a call in progress does not notice an outage.
         """
         known = (
             self.upstreams.store_healthy_since
@@ -81,22 +81,22 @@
         self.upstreams.store_healthy_since = max(known, since)
         self.has_adopted_healthy_since = True
 
-    def learn(self, news: StoreUpdate, now: float) -> None:
-        """Take in one change."""
-        match news:
+    def apply(self, update: StoreUpdate, now: float) -> None:
+        """Apply one update."""
+        match update:
             case ManifestUpdate():
-                self.apply_manifest(news)
+                self.apply_manifest(update)
             case DomainUpdate():
-                self.apply_domain(news)
+                self.apply_domain(update)
             case ReaderUpdate():
-                self.apply_reader(news.entry)
+                self.apply_reader(update.entry)
             case UpstreamUpdate():
-                self.see(news.record, now)
+                self.register_upstream(update.record, now)
             case UpstreamRemoval():
-                self.lose(news, now)
+                self.remove_upstream(update, now)
 
     def apply_manifest(self, news: ManifestUpdate) -> None:
-        """Put a newer manifest into force."""
+        """Apply a manifest if it is newer."""
         before = self.table.version
         if self.table.adopt(news.manifest):
             logger.info(
@@ -113,21 +113,21 @@
                 },
             )
 
-    def apply_domain(self, news: DomainUpdate) -> None:
-        """Take a failure domain out, or back in."""
-        if news.out == (news.domain in self.placer.domains_out):
+    def apply_domain(self, update: DomainUpdate) -> None:
+        """Take a failure domain out of service, or put it back."""
+        if update.out == (update.domain in self.placer.domains_out):
             return
         change = (
             self.placer.domains_out.add
-            if news.out
+            if update.out
             else self.placer.domains_out.discard
         )
-        change(news.domain)
-        state = 'domain out' if news.out else 'domain back'
-        logger.info(state, extra={'domain': news.domain})
+        change(update.domain)
+        state = 'domain out' if update.out else 'domain back'
+        logger.info(state, extra={'domain': update.domain})
 
     def apply_reader(self, entry: ReaderEntry) -> None:
-        """Take note of who reads for a failure domain."""
+        """Record which node reads the store for a failure domain."""
         self.readers[entry.domain] = entry
         logger.info(
             'reader known',
@@ -138,8 +138,8 @@
             },
         )
 
-    def see(self, record: UpstreamRecord, now: float) -> None:
-        """Take in what an upstream says of itself."""
+    def register_upstream(self, record: UpstreamRecord, now: float) -> None:
+        """Register or update an upstream."""
         if self.upstreams.register(record, now):
             logger.info(
                 'upstream seen',
@@ -151,25 +151,26 @@
                 },
             )
 
-    def lose(self, news: UpstreamRemoval, now: float) -> None:
-        """Take note of an entry that vanished."""
-        if self.upstreams.mark_absent(news.name, now):
+    def remove_upstream(self, update: UpstreamRemoval, now: float) -> None:
+        """Mark an upstream as absent whose entry was removed."""
+        if self.upstreams.mark_absent(update.name, now):
             logger.info(
                 'upstream lost',
-                extra={'upstream': news.name, 'cause': news.cause},
+                extra={'upstream': update.name, 'cause': update.cause},
             )
 
     def mark_store_unavailable(self) -> None:
-        """Count absences anew once the store can be read again.
+        """Record a failed call to the store.
 
-        Routes stay in force; their age tells that they may be old.
+        Absences are counted from the next success. Routes stay in force, and
+        the age of the store cache shows that they may be outdated.
         """
         self.upstreams.store_healthy_since = 0
         self.has_adopted_healthy_since = True
 
-    def read(self, found: Snapshot) -> list[StoreUpdate]:
-        """Decode values; one that can't be read changes nothing."""
-        news: list[StoreUpdate] = []
+    def decode_values(self, found: Snapshot) -> list[StoreUpdate]:
+        """Decode values; log and skip those that are invalid."""
+        updates: list[StoreUpdate] = []
         for stored in found.values:
             try:
                 one = self.decode(stored)
@@ -180,5 +181,5 @@
                 )
                 continue
             if one is not None:
-                news.append(one)
-        return news
+                updates.append(one)
+        return updates
