--- a/burdocksill/packets/routing.py
+++ b/burdocksill/packets/routing.py
@@ -1,39 +1,39 @@
-"""Which services a new flow may go to, by the newest manifest."""
+"""Routing table of the newest manifest."""
 
 from __future__ import annotations
 
 from burdocksill.packets.messages import Manifest, Route, ServiceLimits
 
-Place = tuple[int, int]
+Endpoint = tuple[int, int]
 NO_LIMITS = ServiceLimits()
 
 
 class RoutingTable:
-    """Hold the manifest in force; a lower version never replaces it.
+    """Routes of the manifest in force; an older version never replaces it.
 
-    A late answer of the store or a peer that was cut off may offer an older
-    manifest. Clients have seen the newer one at work, so to go back would
-    send flows by a route that operators have changed already.
+    A late answer of the store, or a peer that was partitioned, may deliver an
+    older manifest. Applying it would send new flows by routes that operators
+    have already replaced.
     """
 
     __slots__ = ('least_urgent', 'manifest', 'removed', 'routes')
 
     def __init__(self) -> None:
-        """Begin with nothing known."""
+        """Start without a manifest."""
         self.manifest: Manifest | None = None
-        self.routes: dict[Place, Route] = {}
-        # Places whose route a newer manifest took away.
-        self.removed: set[Place] = set()
-        # The priority of the routes that can wait best.
+        self.routes: dict[Endpoint, Route] = {}
+        # Addresses and ports whose route a newer manifest removed.
+        self.removed: set[Endpoint] = set()
+        # The highest priority number, which is the least urgent.
         self.least_urgent: int = 0
 
     @property
     def version(self) -> int:
-        """Return the version in force, 0 before the first."""
+        """Return the version in force, 0 before the first manifest."""
         return self.manifest.version if self.manifest else 0
 
     def adopt(self, manifest: Manifest) -> bool:
-        """Put a manifest into force unless it is older; True if it was."""
+        """Apply a manifest if it is newer; return True if it was."""
         if manifest.version <= self.version:
             return False
         routes = {(one.address, one.port): one for one in manifest.routes}
@@ -46,16 +46,16 @@
         self.manifest = manifest
         return True
 
-    def find(self, place: Place) -> Route | None:
-        """Return the route of an address and port."""
-        return self.routes.get(place)
+    def find(self, endpoint: Endpoint) -> Route | None:
+        """Return the route of an address and port, or None."""
+        return self.routes.get(endpoint)
 
-    def was_removed(self, place: Place) -> bool:
-        """Return True for a route that this node has seen taken away."""
-        return place in self.removed
+    def was_removed(self, endpoint: Endpoint) -> bool:
+        """Return True if a newer manifest has removed the route."""
+        return endpoint in self.removed
 
     def limits(self, service: str) -> ServiceLimits:
-        """Return the limits of a service."""
+        """Return the limits of a service, defaults if it has none."""
         if self.manifest is None:
             return NO_LIMITS
         return self.manifest.services.get(service, NO_LIMITS)
