--- a/burdocksill/packets/faststart.py
+++ b/burdocksill/packets/faststart.py
@@ -1,9 +1,9 @@
-"""Serve packets while the rest of the program is still being imported.
+"""Forward packets while the rest of the program is still being imported.
 
-After a loss of power every node starts at once, and no flow is served until
-the first has. What decides about packets needs little of the standard library
-and nothing else, so that is imported first and the store is read; the libraries
-of the rest, which take several times as long, are imported between packets.
+After a power failure all nodes start at once, and no flow is served until one
+of them is ready. The packet path needs only a small part of the standard
+library, so it is imported first and the store is read. The other libraries,
+which take several times as long, are imported between packets.
 """
 
 from __future__ import annotations
@@ -29,15 +29,15 @@
     from typing import Final
 
 READ_BYTES: Final = 65536
-# How often the loop looks whether the time for the reading is up.
-LOOK_SECONDS: Final = 0.02
-# The longest time without a byte of the store, above what one answer takes when
-# it is slow. A long list comes in many pages and takes seconds over a slow link
-# that all nodes load at once. Given up half-way, it is read again from its
-# first page, by everyone, over that link.
-SILENCE_SECONDS: Final = 0.4
-# Whatever trickles in, the program proper is there to try again.
-LONGEST_SECONDS: Final = 10.0
+# Interval at which the loop checks the time-outs below.
+CHECK_INTERVAL_SECONDS: Final = 0.02
+# Time-out without a received byte, above the duration of one slow answer. It
+# does not bound the whole read: a long list has many pages and takes seconds
+# over a slow link that all nodes use at once. A read that is given up starts
+# again from the first page, on every node, over the same link.
+IDLE_TIMEOUT_SECONDS: Final = 0.4
+# Bound on the whole read; the main program reads the store again.
+TOTAL_TIMEOUT_SECONDS: Final = 10.0
 OK: Final = 200
 
 logger = EarlyLogger(__name__)
@@ -45,21 +45,21 @@
 
 
 class InitialRead:
-    """Read the store once over a plain socket that is never waited for.
+    """Read the store once over a non-blocking socket.
 
-    What fails here is left to the program proper, which tries again.
+    After a failure the main program reads the store again.
     """
 
     __slots__ = (
         'asked_at',
         'core',
-        'ended',
         'exchange',
-        'heard_at',
-        'out',
+        'finished',
         'pages',
-        'plain',
+        'received_at',
         'remote',
+        'sock',
+        'unsent',
     )
 
     def __init__(
@@ -70,66 +70,66 @@
         core: PacketCore,
         asked_at: float,
     ) -> None:
-        """Start to connect."""
+        """Start to connect without blocking."""
         self.remote = remote
         self.pages = pages
         self.core = core
         self.asked_at = asked_at
-        # When the store was last heard, by the monotonic clock.
-        self.heard_at = time.monotonic()
-        self.ended = False
+        # Monotonic time of the last received byte.
+        self.received_at = time.monotonic()
+        self.finished = False
         self.exchange = MinimalHttpExchange(remote=remote)
-        # What is still to be sent.
-        self.out = self.exchange.request(next(pages))
-        self.plain = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self.plain.setblocking(False)
-        self.plain.connect_ex((remote.host, remote.port))
+        # Bytes that are still to be sent.
+        self.unsent = self.exchange.request(next(pages))
+        self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        self.sock.setblocking(False)
+        self.sock.connect_ex((remote.host, remote.port))
 
     def proceed(self) -> None:
-        """Send or receive what is possible now; end after any failure."""
+        """Send or receive without blocking; close after any failure."""
         try:
             self.send_or_receive()
         except BlockingIOError:
             return
         except (OSError, BurdocksillError) as error:
             logger.warning('first reading failed', extra={'cause': repr(error)})
-            self.end()
+            self.finish()
 
     def send_or_receive(self) -> None:
-        """Send what waits to be sent, else take in what has arrived."""
-        if self.out:
-            self.out = self.out[self.plain.send(self.out) :]
+        """Send unsent bytes, else receive and handle an answer."""
+        if self.unsent:
+            self.unsent = self.unsent[self.sock.send(self.unsent) :]
             return
-        received = self.plain.recv(READ_BYTES)
-        self.heard_at = time.monotonic()
+        received = self.sock.recv(READ_BYTES)
+        self.received_at = time.monotonic()
         reply = self.exchange.receive(received)
         if reply is None:
             return
         if reply.status != OK:
             raise ConnectionResetError(f'the store answered {reply.status}')
-        self.take(reply)
+        self.handle_reply(reply)
 
-    def take(self, reply: HttpReply) -> None:
-        """Ask for the next page, or put what was read into force."""
+    def handle_reply(self, reply: HttpReply) -> None:
+        """Request the next page, or apply the complete list."""
         try:
             target = self.pages.send(reply)
         except StopIteration as done:
             self.core.store_cache.apply_snapshot(done.value, self.asked_at)
-            self.end()
+            self.finish()
         else:
-            self.out = self.exchange.request(target)
+            self.unsent = self.exchange.request(target)
 
-    def end(self) -> None:
+    def finish(self) -> None:
         """Close the connection."""
-        self.ended = True
-        self.plain.close()
+        self.finished = True
+        self.sock.close()
 
 
 class DrainBetweenImports:
-    """Forward what has arrived each time another module is looked for.
+    """Meta path finder that forwards waiting packets before each import.
 
-    Modules take a few milliseconds each. A thread for the import would do the
-    same, but a process was seen to crash while one imported and one forwarded.
+    A module takes a few milliseconds to import. A thread would also work, but
+    a process crashed with one thread importing and another one forwarding.
     """
 
     __slots__ = ('core',)
@@ -139,32 +139,34 @@
         *,
         core: PacketCore,
     ) -> None:
-        """Take all fields."""
+        """Store the packet path."""
         self.core = core
 
     def find_spec(self, *_: object) -> None:
-        """Forward packets, and leave the module to the other finders."""
+        """Forward packets; return None, so that other finders load it."""
         self.core.drain(time.monotonic())
 
 
 def run_initial_read(reading: InitialRead) -> None:
-    """Read the store, for as long as it goes on answering."""
-    latest = time.monotonic() + LONGEST_SECONDS
-    while not reading.ended:
+    """Read the store until it is complete or a time-out expires."""
+    deadline = time.monotonic() + TOTAL_TIMEOUT_SECONDS
+    while not reading.finished:
         now = time.monotonic()
-        if now >= min(reading.heard_at + SILENCE_SECONDS, latest):
+        if now >= min(reading.received_at + IDLE_TIMEOUT_SECONDS, deadline):
             logger.warning('first reading given up')
             break
-        wanted = [reading.plain]
-        select.select(wanted, wanted if reading.out else [], [], LOOK_SECONDS)
+        wanted = [reading.sock]
+        select.select(
+            wanted, wanted if reading.unsent else [], [], CHECK_INTERVAL_SECONDS
+        )
         reading.proceed()
-    reading.end()
+    reading.finish()
 
 
 def import_while_serving(name: str, core: PacketCore) -> ModuleType:
-    """Import a module; packets are forwarded if it is known where to."""
+    """Import a module, forwarding packets if the store has been read."""
     if not core.progress.is_synced:
-        # Packets wait in their socket until the program has read the store.
+        # Packets wait in the socket until the program has read the store.
         return importlib.import_module(name)
     finder = DrainBetweenImports(core=core)
     sys.meta_path.insert(0, finder)
