--- a/burdocksill/packets/messages.py
+++ b/burdocksill/packets/messages.py
@@ -1,4 +1,4 @@
-"""What a node knows of routes and upstreams, free of any platform's names."""
+"""Routes, upstreams and store updates, independent of platform formats."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class WeightedService(Value):
-    """Give a service its weight among those that a route may choose."""
+    """Service of a route with its weight in the traffic split."""
 
     __slots__ = ('service', 'weight')
 
@@ -19,13 +19,13 @@
         service: str,
         weight: float = 1,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.service = service
         self.weight = weight
 
 
 class Route(Value):
-    """Send new flows of one address and port to services."""
+    """Services to which new flows of one address and port are sent."""
 
     __slots__ = (
         'address',
@@ -46,21 +46,22 @@
         objective_seconds: float = 0,
         priority: int = 0,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.name = name
         self.address = address
         self.port = port
         self.weighted_services = weighted_services
-        # Within which the caller wants its answer; 0 where none is set.
+        # Latency objective of requests; 0 where none is set.
         self.objective_seconds = objective_seconds
         # 0 is the most urgent.
         self.priority = priority
 
 
 class ServiceLimits(Value):
-    """Say how many new requests a second a cold upstream can bear.
+    """Slow-start limits of a service's upstreams.
 
-    `cold_per_second` is 0 where the operators set no bound.
+    `cold_per_second` is the rate of new requests that a cold upstream may get,
+    0 where the operators set no limit.
     """
 
     __slots__ = ('cold_per_second', 'cold_seconds')
@@ -71,13 +72,13 @@
         cold_seconds: float = 0,
         cold_per_second: float = 0,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.cold_seconds = cold_seconds
         self.cold_per_second = cold_per_second
 
 
 class Manifest(Value):
-    """Hold one version of the configuration, whole."""
+    """One complete version of the operators' configuration."""
 
     __slots__ = ('idle_seconds', 'routes', 'services', 'version')
 
@@ -89,7 +90,7 @@
         services: dict[str, ServiceLimits],
         idle_seconds: float = 15,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.version = version
         self.routes = routes
         self.services = services
@@ -97,17 +98,16 @@
 
 
 class UpstreamState(enum.Enum):
-    """Name what an upstream says of itself."""
+    """State that an upstream reports."""
 
     READY = 'ready'
     DRAINING = 'draining'
 
 
 class UpstreamRecord(Value):
-    """Hold what an upstream registered of itself."""
+    """Entry that an upstream registered in the store."""
 
     __slots__ = (
-        'started_at',
         'cold_seconds',
         'domain',
         'host',
@@ -115,6 +115,7 @@
         'port',
         'service',
         'slots',
+        'started_at',
         'state',
         'tag',
     )
@@ -133,10 +134,10 @@
         cold_seconds: float = 0,
         started_at: int = 0,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.name = name
-        # What its datagrams are marked with, so that another process behind the
-        # same address does not take them.
+        # Prefix of its datagrams, so that another process at the same address
+        # does not accept them.
         self.tag = tag
         self.service = service
         self.host = host
@@ -144,13 +145,14 @@
         self.domain = domain
         self.slots = slots
         self.state = state
-        # How long it stays slow, from the moment of the report.
+        # Remaining warm-up time, from when the entry was received.
         self.cold_seconds = cold_seconds
+        # Start time of the process, by the upstream's clock; 0 if unknown.
         self.started_at = started_at
 
 
 class ManifestUpdate(Value):
-    """Tell of a version of the manifest."""
+    """A version of the manifest was written."""
 
     __slots__ = ('manifest',)
 
@@ -158,12 +160,12 @@
         self,
         manifest: Manifest,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.manifest = manifest
 
 
 class DomainUpdate(Value):
-    """Tell that operators took a failure domain out, or back in."""
+    """Operators took a failure domain out of service, or put it back."""
 
     __slots__ = ('domain', 'out')
 
@@ -172,13 +174,13 @@
         domain: str,
         out: bool,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.domain = domain
         self.out = out
 
 
 class UpstreamUpdate(Value):
-    """Tell what an upstream registered."""
+    """An upstream registered or changed its entry."""
 
     __slots__ = ('record',)
 
@@ -186,12 +188,12 @@
         self,
         record: UpstreamRecord,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.record = record
 
 
 class UpstreamRemoval(Value):
-    """Tell that an upstream's entry is not there any more, or unreadable."""
+    """An upstream's entry was removed or is unreadable."""
 
     __slots__ = ('cause', 'name')
 
@@ -200,13 +202,13 @@
         name: str,
         cause: str = 'removed',
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.name = name
         self.cause = cause
 
 
 class ReaderUpdate(Value):
-    """Tell which node reads the store for a failure domain."""
+    """The node that reads the store for a failure domain changed."""
 
     __slots__ = ('entry',)
 
@@ -214,7 +216,7 @@
         self,
         entry: ReaderEntry,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.entry = entry
 
 
