--- a/burdocksill/packets/__main__.py
+++ b/burdocksill/packets/__main__.py
@@ -6,7 +6,7 @@
 
 
 def run() -> None:
-    """Bind the sockets, and only then import what uses them."""
+    """Bind the sockets, then import and run the program."""
     early = bind_early()
     importlib.import_module('burdocksill.packets.main').main(early)
 
--- a/burdocksill/packets/main.py
+++ b/burdocksill/packets/main.py
@@ -1,4 +1,4 @@
-"""Start one node of the packet path from the platform's settings file."""
+"""Start a node of the packet path from the platform's settings file."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
     from typing import Final
 
 EXIT_BAD_SETTING: Final = 2
-# The part of the program that needs the larger libraries.
+# The main program, which needs the larger libraries.
 PROGRAM: Final = 'burdocksill.packets.program'
 
 logger = EarlyLogger(__name__)
 
 
 def read_settings() -> PacketSettings:
-    """Read the settings file that the environment names."""
+    """Read the settings file that the environment variable names."""
     path = os.environ.get(VARIABLE, '')
     if not path:
         raise SettingMissingError(
@@ -51,7 +51,7 @@
 
 
 def read_store(settings: PacketSettings, core: PacketCore) -> None:
-    """Read the store once, before the rest of the program is there."""
+    """Read the store once, before the main program is imported."""
     reading = InitialRead(
         remote=settings.platform,
         pages=range_pages(ALL_KEYS),
@@ -62,7 +62,7 @@
 
 
 def main(early: EarlySockets) -> None:
-    """Serve packets until SIGTERM, on the sockets that were bound early."""
+    """Run a node until SIGTERM, on the sockets that were bound early."""
     try:
         settings = read_settings()
     except (BurdocksillError, OSError) as error:
--- a/burdocksill/packets/program.py
+++ b/burdocksill/packets/program.py
@@ -1,4 +1,4 @@
-"""Connect a node with the platform and the other nodes, and run it."""
+"""Connect a node to the platform and its peers, and run it."""
 
 import socket
 import time
@@ -24,7 +24,7 @@
     read: Callable[[], PacketSettings],
     probes: socket.socket,
 ) -> None:
-    """Run a node until it is asked to stop; `read` reads its settings anew."""
+    """Run a node until SIGTERM; `read` reloads its settings."""
     if early_lines.writer is not None:
         log_to_stdout(writer=early_lines.writer, level=settings.log_level)
     trio.run(serve, settings, core, rng, read, probes)
@@ -37,7 +37,7 @@
     read: Callable[[], PacketSettings],
     probes: socket.socket,
 ) -> None:
-    """Compose the tasks of a node and run them."""
+    """Create the tasks of a node and run them."""
     runtime = Runtime(
         network=SocketNetwork(),
         clock=time.monotonic,
--- a/burdocksill/packets/protocols.py
+++ b/burdocksill/packets/protocols.py
@@ -1,4 +1,4 @@
-"""What the packet path asks of what it is composed with."""
+"""Interfaces that the packet path depends on."""
 
 from collections.abc import Mapping
 from typing import Protocol
@@ -11,21 +11,21 @@
 
 
 class Freshness(Protocol):
-    """Tell how old a node's knowledge is."""
+    """Age of a node's store cache."""
 
     @property
     def synced_at(self) -> float:
-        """Return the time up to which all changes are known."""
+        """Return the time up to which all changes are known, in seconds."""
 
     def now(self) -> float:
-        """Return the time by which it is counted."""
+        """Return the current time of the same clock, in seconds."""
 
     def age(self) -> float:
-        """Return the seconds since the knowledge was known to be current."""
+        """Return the seconds since the last synchronisation."""
 
 
 class DecisionLog(Protocol):
-    """Keep the decisions that touch a flow."""
+    """Log of decisions on flows."""
 
     def decided(
         self,
@@ -34,7 +34,7 @@
         upstream: KnownUpstream | None,
         repeat: int = 0,
     ) -> None:
-        """Write down one decision."""
+        """Log one decision."""
 
     def overloaded(
         self,
@@ -43,4 +43,4 @@
         limiters: Mapping[str, ConcurrencyLimiter],
         repeat: int,
     ) -> None:
-        """Write down an opening that was refused for load."""
+        """Log an opening that was refused because of overload."""
--- a/burdocksill/packets/settings.py
+++ b/burdocksill/packets/settings.py
@@ -9,13 +9,13 @@
 if TYPE_CHECKING:
     from typing import Final
 
-# How long a node goes on after it was asked to stop, if nothing says more:
-# two probes of its readiness and the flows that are on their way.
+# Default time for which a node continues after SIGTERM: enough for two
+# readiness probes and for packets in transit.
 DEFAULT_STOP_SECONDS: Final = 5.0
 
 
 class PacketSettings(Value):
-    """Hold what a node learns from the file that the platform writes."""
+    """Settings of a node from the file that the platform writes."""
 
     __slots__ = (
         'cores',
@@ -42,16 +42,16 @@
         stop_seconds: float = DEFAULT_STOP_SECONDS,
         log_level: str = 'INFO',
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.name = name
         self.domain = domain
         self.listen = listen
         self.ready = ready
         self.platform = platform
-        # Where other nodes reach this one; without it the node reads the
-        # store by itself.
+        # Address for peers; without it the node does not share reads of the
+        # store.
         self.peer = peer
-        # Processor of the machine, in cores of the usual speed.
+        # Processor of the machine, in cores of standard speed.
         self.cores = cores
         self.stop_seconds = stop_seconds
         self.log_level = log_level
