--- a/burdocksill/packets/metrics.py
+++ b/burdocksill/packets/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics page of a node: counters, gauges and what answers took."""
+"""The metrics page of a node: counters, gauges and answer times."""
 
 import attrs
 
@@ -9,59 +9,61 @@
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class MetricsPage:
-    """Bring the counts of the packet path into the usual text format.
+    """Render the counts of the packet path in the Prometheus text format.
 
-    The path itself counts in plain numbers: its start must not wait for the
-    libraries that write them, which this page alone needs.
+    The packet path itself counts in plain integers, so that its start does not
+    wait for the metrics libraries, which only this page needs.
     """
 
     core: PacketCore
     store_sync: StoreSync
     counters: Counters = attrs.field(factory=Counters)
-    shown: dict[tuple[str, str], int] = attrs.field(factory=dict)
+    last_counts: dict[tuple[str, str], int] = attrs.field(factory=dict)
 
     def render(self, now: float) -> str:
-        """Write everything that is known now."""
+        """Return the page with the current values."""
         for reason, count in self.core.counts.items():
-            more = self.since_shown('packets', reason, count)
-            self.counters.add('packets', more, reason=reason)
+            increase = self.count_increase('packets', reason, count)
+            self.counters.add('packets', increase, reason=reason)
         for status, count in self.store_sync.calls.items():
-            more = self.since_shown('store_calls', str(status), count)
-            self.counters.add('store_calls', more, status=str(status))
-        self.count_answers()
+            increase = self.count_increase('store_calls', str(status), count)
+            self.counters.add('store_calls', increase, status=str(status))
+        self.count_store_answers()
         self.count_signs()
         for priority, count in self.core.forwarder.refused_for_load.items():
-            more = self.since_shown('refused', str(priority), count)
-            self.counters.add('refused_for_load', more, priority=str(priority))
+            increase = self.count_increase('refused', str(priority), count)
+            self.counters.add(
+                'refused_for_load', increase, priority=str(priority)
+            )
         answers = self.core.forwarder.flows.answers
         while answers:
             service, seconds = answers.popleft()
             self.counters.record('answer', seconds, service=service)
         return self.counters.render() + self.gauges(now)
 
-    def count_answers(self) -> None:
-        """Count what the store has sent, and what was given up of it."""
+    def count_store_answers(self) -> None:
+        """Count bytes received from the store and truncated answers."""
         count = self.store_sync.received_bytes
-        more = self.since_shown('store_received_bytes', '', count)
-        self.counters.add('store_received_bytes', more)
+        increase = self.count_increase('store_received_bytes', '', count)
+        self.counters.add('store_received_bytes', increase)
         count = self.store_sync.truncated
-        more = self.since_shown('store_answers_cut_short', '', count)
-        self.counters.add('store_answers_cut_short', more)
+        increase = self.count_increase('store_answers_cut_short', '', count)
+        self.counters.add('store_answers_cut_short', increase)
 
     def count_signs(self) -> None:
-        """Count what nodes tell each other of upstreams."""
+        """Count the observations of upstreams exchanged with peers."""
         for direction, count in self.store_sync.observations.items():
-            more = self.since_shown('signs', direction, count)
-            self.counters.add('signs', more, direction=direction)
+            increase = self.count_increase('signs', direction, count)
+            self.counters.add('signs', increase, direction=direction)
 
-    def since_shown(self, name: str, label: str, count: int) -> int:
-        """Return by how much a count grew since the last page."""
-        before = self.shown.get((name, label), 0)
-        self.shown[name, label] = count
+    def count_increase(self, name: str, label: str, count: int) -> int:
+        """Return the increase of a count since the last page."""
+        before = self.last_counts.get((name, label), 0)
+        self.last_counts[name, label] = count
         return count - before
 
     def gauges(self, now: float) -> str:
-        """Write what is so at this moment."""
+        """Return the gauges as text."""
         updater = self.core.updater
         known = updater.upstreams.by_name.values()
         found = {
@@ -81,10 +83,10 @@
             f'# TYPE burdocksill_{name} gauge\nburdocksill_{name} {value}'
             for name, value in found.items()
         ]
-        return '\n'.join((*lines, *self.loads())) + '\n'
+        return '\n'.join((*lines, *self.service_gauges())) + '\n'
 
-    def loads(self) -> list[str]:
-        """Write what this node sees in progress on each service."""
+    def service_gauges(self) -> list[str]:
+        """Return the gauges of each service's load, one line each."""
         lines: list[str] = []
         for name, limiter in self.core.updater.upstreams.limiters.items():
             found = {
