--- a/burdocksill/platform/records.py
+++ b/burdocksill/platform/records.py
@@ -1,4 +1,4 @@
-"""Read what operators and upstreams write into the platform's store."""
+"""Decode the entries that operators and upstreams write into the store."""
 
 from __future__ import annotations
 
@@ -30,38 +30,38 @@
 if TYPE_CHECKING:
     from typing import Any, Final
 
-# Operators and upstreams write below prefixes of their own; nobody else does,
-# so that the empty one holds both, and one watch follows both.
+# Operators and upstreams write below two prefixes and nobody else writes to the
+# store, so one watch of the empty prefix covers both.
 ALL_KEYS: Final = ''
 MANIFEST: Final = 'op/config'
 DOMAINS_OUT: Final = 'op/evacuate/'
 UPSTREAMS: Final = 'servers/'
 MILLISECONDS: Final = 1000
-LARGEST_TAG: Final = (1 << 64) - 1
+MAX_TAG: Final = (1 << 64) - 1
 LARGEST_PORT: Final = 65535
 HEX: Final = 16
 DEFAULT_IDLE_MILLISECONDS: Final = 15000
 
 
 class RecordDecoder:
-    """Decode what stands in the store; a route that stays is decoded once.
+    """Decode stored entries; routes that did not change are reused.
 
-    A large manifest whose routes are all decoded anew at each change keeps
-    packets waiting for longer than callers do.
+    Decoding all routes of a large manifest at each change would delay packets
+    for longer than clients wait.
     """
 
     __slots__ = ('routes',)
 
     def __init__(self) -> None:
-        """Begin with nothing decoded."""
-        # The routes of the latest manifest, by how their rows are written.
+        """Start without cached routes."""
+        # The routes of the latest manifest, by the repr of their rows.
         self.routes: dict[str, Route] = {}
 
     def decode(self, stored: StoredValue) -> StoreUpdate | None:
-        """Return the news of an item, None for a key that says nothing here."""
+        """Return the update of a stored value, None for an unused key."""
         if stored.key == MANIFEST:
-            # The manifest is replaced, never removed; without one the last
-            # holds.
+            # Operators replace the manifest and never remove it; if it is
+            # missing, the last one stays in force.
             if stored.removed:
                 return None
             return ManifestUpdate(self.read_manifest(stored.value))
@@ -72,29 +72,31 @@
             name = stored.key.removeprefix(UPSTREAMS)
             if stored.removed:
                 return UpstreamRemoval(name)
-            return read_listed(name, stored.value)
+            return decode_upstream_update(name, stored.value)
         if stored.key.startswith(READERS):
             domain = stored.key.removeprefix(READERS)
             return ReaderUpdate(read_reader(domain, stored))
         return None
 
     def read_manifest(self, value: bytes) -> Manifest:
-        """Read the operators' configuration, whole or not at all."""
+        """Decode the operators' configuration; raise if any part is invalid."""
         found = read_object(value)
-        services = take_rows(found, 'Services')
-        limits = take(found, 'Limits', dict, {})
-        idle = take(limits, 'IdleTimeoutMs', float, DEFAULT_IDLE_MILLISECONDS)
-        # Their texts tell 1, 1.0 and True apart, which are equal as values.
-        rows = {repr(row): row for row in take_rows(found, 'Routes')}
+        services = get_objects(found, 'Services')
+        limits = get_field(found, 'Limits', dict, {})
+        idle = get_field(
+            limits, 'IdleTimeoutMs', float, DEFAULT_IDLE_MILLISECONDS
+        )
+        # The repr tells 1, 1.0 and True apart, which compare equal.
+        rows = {repr(row): row for row in get_objects(found, 'Routes')}
         routes = {
             text: self.routes.get(text) or read_route(row)
             for text, row in rows.items()
         }
         manifest = Manifest(
-            version=take(found, 'Version', int, None),
+            version=get_field(found, 'Version', int, None),
             routes=tuple(routes.values()),
             services={
-                take(one, 'Name', str, None): read_limits(one)
+                get_field(one, 'Name', str, None): read_limits(one)
                 for one in services
             },
             idle_seconds=idle / MILLISECONDS,
@@ -104,26 +106,26 @@
 
 
 def read_reader(domain: str, stored: StoredValue) -> ReaderEntry:
-    """Read who reads for a domain; one that can't be read names nobody."""
+    """Decode the entry of a domain's reader; an invalid one names no reader."""
     if stored.removed:
         return ReaderEntry(domain=domain)
     try:
         found = read_object(stored.value)
         reader = Reader(
-            name=take(found, 'name', str, None),
+            name=get_field(found, 'name', str, None),
             address=Address(
-                take(found, 'host', str, None),
-                take(found, 'port', int, None),
+                get_field(found, 'host', str, None),
+                get_field(found, 'port', int, None),
             ),
         )
     except RecordInvalidError:
-        # Nodes of this program write it; the next one overwrites rubbish.
+        # Only nodes write this key; the next reader overwrites it.
         return ReaderEntry(domain=domain, revision=stored.revision)
     return ReaderEntry(domain=domain, reader=reader, revision=stored.revision)
 
 
 def write_reader(reader: Reader) -> bytes:
-    """Write the entry of a domain's reader."""
+    """Encode the entry of a domain's reader."""
     return json.dumps(
         {
             'name': reader.name,
@@ -133,8 +135,8 @@
     ).encode()
 
 
-def read_listed(name: str, value: bytes) -> StoreUpdate:
-    """Read an upstream's entry; one that can't be read names none."""
+def decode_upstream_update(name: str, value: bytes) -> StoreUpdate:
+    """Decode an upstream's entry; an invalid one counts as removed."""
     try:
         return UpstreamUpdate(read_upstream(name, value))
     except RecordInvalidError as error:
@@ -142,137 +144,144 @@
 
 
 def read_object(value: bytes) -> dict[str, Any]:
-    """Read a JSON object."""
+    """Decode a JSON object."""
     try:
         found = json.loads(value)
     except (ValueError, RecursionError) as error:
         raise RecordInvalidError(
-            message=f'{len(value)} bytes are no JSON: {error}',
-            hint='see which program writes this key',
+            message=f'{len(value)} bytes that are not JSON: {error}',
+            hint='check which program writes this key',
         ) from error
     if not isinstance(found, dict):
         raise RecordInvalidError(
-            message=f'found a {type(found).__name__} for an object',
-            hint='see which program writes this key',
+            message=f'found a {type(found).__name__} instead of an object',
+            hint='check which program writes this key',
         )
     return found
 
 
-def take(found: dict[str, Any], name: str, kind: type, fallback: Any) -> Any:
-    """Return a field of a kind; a fallback of None means it is required."""
-    field: Any = found.get(name, fallback)
+def get_field(
+    found: dict[str, Any], name: str, kind: type, default: Any
+) -> Any:
+    """Return a field of a type; a default of None means it is required."""
+    field: Any = found.get(name, default)
     if kind is float and isinstance(field, int):
         field = as_float(field)
     wrong = not isinstance(field, kind) or isinstance(field, bool)
     if wrong or (kind is float and not math.isfinite(field)):
         raise RecordInvalidError(
             message=f'{name} is not a finite {kind.__name__}',
-            hint='the entry is passed over until it is written again',
+            hint='the entry is ignored until it is written again',
         )
     return field
 
 
 def as_float(number: int) -> float:
-    """Return a whole number as a float, infinite where none holds it."""
+    """Return an integer as a float, infinity if it is too large."""
     try:
         return float(number)
     except OverflowError:
         return math.inf
 
 
-def take_rows(found: dict[str, Any], name: str) -> list[dict[str, Any]]:
-    """Return a list of objects, empty where there is none."""
-    rows: list[Any] = take(found, name, list, [])
+def get_objects(found: dict[str, Any], name: str) -> list[dict[str, Any]]:
+    """Return a list of objects, empty if the field is missing."""
+    rows: list[Any] = get_field(found, name, list, [])
     if not all(isinstance(row, dict) for row in rows):
         raise RecordInvalidError(
-            message=f'{name} holds something else than objects',
-            hint='the entry is passed over until it is written again',
+            message=f'{name} contains values that are not objects',
+            hint='the entry is ignored until it is written again',
         )
     return rows
 
 
 def read_route(found: dict[str, Any]) -> Route:
-    """Read one route."""
-    # `Hostname` is the address that clients send to, and `Prefix` the port,
+    """Decode one route."""
+    # `Hostname` is the address that clients send to, `Prefix` is the port
     # between slashes.
-    host = take(found, 'Hostname', str, None)
-    port = take(found, 'Prefix', str, None).strip('/')
-    name = take(found, 'Name', str, '')
+    host = get_field(found, 'Hostname', str, None)
+    port = get_field(found, 'Prefix', str, None).strip('/')
+    name = get_field(found, 'Name', str, '')
     try:
         return Route(
             name=name,
             address=parse_ipv4(host),
             port=int(port),
-            weighted_services=read_shares(found),
-            # `SloMs` is the latency objective of the requests inside.
-            objective_seconds=take(found, 'SloMs', float, 0) / MILLISECONDS,
-            priority=take(found, 'Priority', int, 0),
+            weighted_services=read_weighted_services(found),
+            # `SloMs` is the latency objective of requests in the flow.
+            objective_seconds=get_field(found, 'SloMs', float, 0)
+            / MILLISECONDS,
+            priority=get_field(found, 'Priority', int, 0),
         )
     except (ValueError, OverflowError) as error:
         raise RecordInvalidError(
             message=f'route {name} has address {host!r} and port {port!r}',
-            hint='the manifest is passed over; write one that is whole',
+            hint='the manifest is ignored; write one that is valid',
         ) from error
 
 
-def read_shares(found: dict[str, Any]) -> tuple[WeightedService, ...]:
-    """Read the services of a route, by weight if there are several."""
-    split = take_rows(found, 'TrafficSplit')
+def read_weighted_services(
+    found: dict[str, Any],
+) -> tuple[WeightedService, ...]:
+    """Decode the services of a route, with weights if it has a split."""
+    split = get_objects(found, 'TrafficSplit')
     if not split:
-        return (WeightedService(service=take(found, 'Service', str, None)),)
+        return (
+            WeightedService(service=get_field(found, 'Service', str, None)),
+        )
     return tuple(
         WeightedService(
-            service=take(one, 'Service', str, None),
-            weight=take(one, 'Weight', float, 1),
+            service=get_field(one, 'Service', str, None),
+            weight=get_field(one, 'Weight', float, 1),
         )
         for one in split
     )
 
 
 def read_limits(found: dict[str, Any]) -> ServiceLimits:
-    """Read what a service's cold upstreams can bear."""
+    """Decode the slow-start limits of a service."""
     return ServiceLimits(
-        cold_seconds=take(found, 'WarmupS', float, 0),
-        cold_per_second=take(found, 'ColdPerS', float, 0),
+        cold_seconds=get_field(found, 'WarmupS', float, 0),
+        cold_per_second=get_field(found, 'ColdPerS', float, 0),
     )
 
 
 def read_upstream(name: str, value: bytes) -> UpstreamRecord:
-    """Read an upstream's entry; anything odd means that it names none."""
+    """Decode an upstream's entry; raise RecordInvalidError if invalid."""
     found = read_object(value)
-    state = take(found, 'State', str, None)
-    host, _, port = take(found, 'Address', str, None).rpartition(':')
+    state = get_field(found, 'State', str, None)
+    host, _, port = get_field(found, 'Address', str, None).rpartition(':')
     try:
         parse_ipv4(host)
         record = UpstreamRecord(
             name=name,
             tag=read_tag(name),
-            service=take(found, 'Service', str, None),
+            service=get_field(found, 'Service', str, None),
             host=host,
             port=int(port),
-            domain=take(found, 'Zone', str, None),
-            slots=max(1, take(found, 'Slots', int, 1)),
+            domain=get_field(found, 'Zone', str, None),
+            slots=max(1, get_field(found, 'Slots', int, 1)),
             state=UpstreamState(state),
-            # How much longer it stays slow, counted from this report.
-            cold_seconds=take(found, 'WarmupMs', float, 0) / MILLISECONDS,
-            started_at=take(found, 'born', int, 0),
+            # Remaining warm-up time, from when the entry is received.
+            cold_seconds=get_field(found, 'WarmupMs', float, 0) / MILLISECONDS,
+            started_at=get_field(found, 'born', int, 0),
         )
     except (ValueError, OverflowError) as error:
         raise RecordInvalidError(
             message=f'{name} has state {state!r} at {host}:{port}',
-            hint='the entry is passed over until it is written again',
+            hint='the entry is ignored until it is written again',
         ) from error
     if not 0 < record.port <= LARGEST_PORT:
         raise RecordInvalidError(
             message=f'{name} has port {port}',
-            hint='the entry is passed over until it is written again',
+            hint='the entry is ignored until it is written again',
         )
     return record
 
 
 def read_tag(name: str) -> int:
-    """Return the number that the hex digits of an upstream's name write."""
+    """Return the number after the last hyphen of a name, in hex."""
     tag = int(name.rpartition('-')[2], HEX)
-    if not 0 < tag <= LARGEST_TAG:
+    if not 0 < tag <= MAX_TAG:
         raise ValueError(name)
     return tag
