--- a/burdocksill/platform/early.py
+++ b/burdocksill/platform/early.py
@@ -1,29 +1,29 @@
-"""Prepare a node's process before anything larger is imported.
+"""Bind the sockets of a node before larger modules are imported.
 
-A process that starts again is sent packets and probes all the while. What comes
-before a socket is bound is lost, and its sender repeats it much later than the
-imports take. SIGHUP ends a process that has not said otherwise.
-So this module imports next to nothing, and runs first.
+A restarting process receives packets and probes all the time. What arrives
+before a socket is bound is lost, and its sender retransmits it much later than
+the imports take. SIGHUP terminates a process that does not handle it.
+So this module runs first and imports as little as possible.
 """
 
 import os
 import signal
 import socket
 
-# Where the platform names the settings file.
+# Environment variable with the path of the settings file.
 VARIABLE = 'BURDOCKSILL_CONFIG'
-# Where packets go, and where probes of readiness do.
+# Fields with the addresses for packets and for readiness probes.
 PACKETS = 'Listen.DataAddr'
 PROBES = 'Listen.ReadyAddr'
-# Holds what arrives while a process starts.
+# Receive buffer for packets that arrive while a process starts.
 BUFFER_BYTES = 4 * 1024 * 1024
-PROBES_WAITING = 16
+PROBE_BACKLOG = 16
 
-Place = tuple[str, int]
+HostPort = tuple[str, int]
 
 
 def read_text() -> str:
-    """Return the settings file, empty if it can't be read: the start tells."""
+    """Return the settings file; empty if unreadable, which `main` reports."""
     try:
         with open(os.environ.get(VARIABLE, ''), encoding='utf-8') as opened:
             return opened.read()
@@ -31,8 +31,8 @@
         return ''
 
 
-def find_place(text: str, name: str) -> Place | None:
-    """Return a field that holds host:port, None if it doesn't."""
+def find_address(text: str, name: str) -> HostPort | None:
+    """Return the host and port of a field, None if missing or invalid."""
     for line in text.splitlines():
         field, _, place = line.partition('=')
         host, _, port = place.strip().rpartition(':')
@@ -41,27 +41,27 @@
     return None
 
 
-def bind_packets(place: Place) -> socket.socket:
-    """Bind the socket for packets."""
+def bind_packets(place: HostPort) -> socket.socket:
+    """Return a bound, non-blocking socket for packets."""
     bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     bound.setblocking(False)
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER_BYTES)
     return bind(bound, place)
 
 
-def bind_probes(place: Place) -> socket.socket:
-    """Listen for probes; they wait until the program answers them."""
+def bind_probes(place: HostPort) -> socket.socket:
+    """Return a listening socket; probes are queued until it is served."""
     bound = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     bound.setblocking(False)
-    # Connections of the process before may still be closing.
+    # Connections of the previous process may still be in TIME_WAIT.
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     bind(bound, place)
-    bound.listen(PROBES_WAITING)
+    bound.listen(PROBE_BACKLOG)
     return bound
 
 
-def bind(unbound: socket.socket, place: Place) -> socket.socket:
-    """Bind a socket, or close it and raise OSError."""
+def bind(unbound: socket.socket, place: HostPort) -> socket.socket:
+    """Bind a socket; close it and raise OSError on failure."""
     try:
         unbound.bind(place)
     except OSError:
@@ -71,7 +71,7 @@
 
 
 class EarlySockets:
-    """Hold what was bound; None where the program has to do it itself."""
+    """The bound sockets; None where `main` has to bind them."""
 
     def __init__(
         self,
@@ -79,22 +79,22 @@
         packets: socket.socket | None = None,
         probes: socket.socket | None = None,
     ) -> None:
-        """Keep the sockets."""
+        """Store the sockets."""
         self.packets = packets
         self.probes = probes
 
 
 def bind_early() -> EarlySockets:
-    """Bind what the settings file names, and ignore SIGHUP for now.
+    """Bind the addresses in the settings file and ignore SIGHUP.
 
-    Once the program runs it reads its settings anew at that signal; until
-    then they are new. An address that can't be read or bound is left out: the
-    program meets the same error later, when it can write it down.
+    Until the program handles SIGHUP by reloading its settings, they are recent
+    anyway. An address that can't be read or bound is skipped: the program fails
+    with the same error later, when it can log it.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     text = read_text()
-    packets = find_place(text, PACKETS)
-    probes = find_place(text, PROBES)
+    packets = find_address(text, PACKETS)
+    probes = find_address(text, PROBES)
     early = EarlySockets()
     try:
         if packets is not None:
--- a/burdocksill/platform/node_file.py
+++ b/burdocksill/platform/node_file.py
@@ -1,4 +1,4 @@
-"""Read the file in which the platform describes a node."""
+"""Read the settings file that the platform writes for a node."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 if TYPE_CHECKING:
     from typing import Final
 
-# The process must be gone before it is killed.
+# The process must exit before the platform sends SIGKILL.
 STOP_MARGIN_SECONDS: Final = 1.0
 
 
 def read_fields(text: str) -> dict[str, str]:
-    """Split lines of name=value; other lines say nothing."""
+    """Return the fields of lines of name=value; ignore other lines."""
     fields: dict[str, str] = {}
     for line in text.splitlines():
         name, separator, field = line.partition('=')
@@ -28,7 +28,7 @@
 
 
 def read_address(fields: dict[str, str], name: str) -> Address:
-    """Read host:port."""
+    """Return the address in a field of the form host:port."""
     text = require(fields, name)
     host, _, port = text.rpartition(':')
     if not host or not port.isdecimal():
@@ -40,22 +40,22 @@
 
 
 def require(fields: dict[str, str], name: str) -> str:
-    """Return a field that must be there."""
+    """Return a required field; raise SettingMissingError if it is empty."""
     if not fields.get(name):
         raise SettingMissingError(
             message=f'{name} is not in the settings file',
-            hint=f'see what ${VARIABLE} names',
+            hint=f'check the file that ${VARIABLE} names',
         )
     return fields[name]
 
 
 def read_node_file(text: str) -> PacketSettings:
-    """Read the settings of a node; what is not known here is passed over."""
+    """Return the settings of a node; unknown fields are ignored."""
     fields = read_fields(text)
     return PacketSettings(
         name=require(fields, 'Node'),
         domain=require(fields, 'Zone'),
-        # Also the port at which clients take their answers.
+        # Resets are sent to clients at this port too.
         listen=read_address(fields, PACKETS),
         ready=read_address(fields, PROBES),
         platform=read_address(fields, 'platform.Address'),
@@ -67,41 +67,41 @@
 
 
 def read_peer(fields: dict[str, str]) -> Address | None:
-    """Return this node's own address for other nodes."""
+    """Return this node's address for peers, None if it has none."""
     port = peer_port(fields)
     host = fields.get('Ip', '')
     return Address(host, port) if port and host else None
 
 
 def peer_port(fields: dict[str, str]) -> int:
-    """Return the first port that is free for traffic between nodes."""
+    """Return the first port for traffic between nodes, 0 if there is none."""
     first = fields.get('PortRange', '').partition(',')[0]
     return int(first) if first.isdecimal() else 0
 
 
 def read_cores(fields: dict[str, str]) -> float:
-    """Return the machine's processor in cores of the usual speed."""
+    """Return the processor of the machine, in cores of standard speed."""
     share = read_number(fields, 'Limits.CpuShare', 1)
-    # `Cores` says how many times as fast as the usual one the core is.
+    # `Cores` is the speed of the core relative to a standard one.
     return share * read_number(fields, 'Limits.Cores', 1)
 
 
 def read_number(
     fields: dict[str, str],
     name: str,
-    fallback: float,
+    default: float,
 ) -> float:
-    """Return a positive number, or what holds where there is none."""
+    """Return a positive number, the default if missing or invalid."""
     try:
         found = float(fields.get(name, ''))
     except ValueError:
-        return fallback
-    return found if math.isfinite(found) and found > 0 else fallback
+        return default
+    return found if math.isfinite(found) and found > 0 else default
 
 
 def read_stop(fields: dict[str, str]) -> float:
-    """Return how long to go on after a request to stop."""
-    # From SIGTERM to SIGKILL, in seconds.
+    """Return the seconds for which to continue after SIGTERM."""
+    # `Bounds.GraceS` is the time from SIGTERM to SIGKILL, in seconds.
     try:
         grace = float(fields.get('Bounds.GraceS', ''))
     except ValueError:
