--- a/burdocksill/platform/calls.py
+++ b/burdocksill/platform/calls.py
@@ -1,4 +1,4 @@
-"""What the store's calls look like, without making any."""
+"""Encoding and decoding of calls to the store, without I/O."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
     from typing import Any, Final
 
 
-# What an item takes in an answer beside its key and its value.
-ITEM_BYTES: Final = 90
+# Overhead of an item in an answer, beside its key and value.
+ITEM_OVERHEAD_BYTES: Final = 90
 
 
 def item_bytes(stored: StoredValue) -> int:
-    """Return about how much of an answer an item takes."""
+    """Return the approximate size of an item in an answer, in bytes."""
     encoded = len(stored.value) * 4 // 3
-    return ITEM_BYTES + len(stored.key) + encoded
+    return ITEM_OVERHEAD_BYTES + len(stored.key) + encoded
 
 
 def quote(text: str) -> str:
-    """Write text so that it may stand in a query.
+    """Percent-encode text for a query.
 
-    Every byte is written in hex: a start shouldn't wait for urllib.
+    Every byte is encoded, because importing urllib would delay the start.
     """
     return ''.join(f'%{byte:02X}' for byte in text.encode())
 
@@ -37,7 +37,7 @@
 def key_target(key: str, *, stale: bool = False) -> str:
     """Return the target of a call that reads one key.
 
-    A stale answer may be seconds old, and costs a tenth.
+    A stale answer may be seconds old, and costs the store a tenth.
     """
     target = f'/-/kv-key?Key={quote(key)}'
     return f'{target}&AllowStale=1' if stale else target
@@ -50,10 +50,10 @@
 
 
 def range_target(prefix: str, after: str) -> str:
-    """Return the target of a call that reads a page below a prefix.
+    """Return the target of a call that reads a page of a prefix.
 
-    Here `after` is the last key of the page before; in a watch the same word
-    is a revision.
+    Here `after` is the last key of the previous page; in a watch the parameter
+    of the same name is a revision.
     """
     query = f'Prefix={quote(prefix)}'
     if after:
@@ -62,7 +62,7 @@
 
 
 def write_body(key: str, value: bytes, expected: int, lease: int) -> bytes:
-    """Return the body of a call that writes one key under a condition."""
+    """Return the body of a conditional write of one key."""
     row: dict[str, object] = {
         'Key': key,
         'Value': base64.b64encode(value).decode(),
@@ -78,11 +78,10 @@
 
 
 def range_pages(prefix: str) -> Generator[str, HttpReply, Snapshot]:
-    """Yield the targets that read all values below a prefix, return these.
+    """Yield the targets of all pages of a prefix; return a snapshot.
 
-    Pages are read one after the other while the store may change, so the
-    revision is that of the first: a watch from there repeats what changed
-    meanwhile.
+    The store may change between pages, so the snapshot has the revision of the
+    first page: a watch from there delivers the changes since then again.
     """
     values: list[StoredValue] = []
     revision = 0
@@ -99,7 +98,7 @@
 
 
 def decode_watch(target: str, reply: HttpReply) -> Snapshot:
-    """Read the changes that a watch answered with."""
+    """Decode the changes in a watch's answer."""
     answer = decode_body(target, reply)
     return Snapshot(
         values=tuple(decode_items(answer, 'events')),
@@ -108,29 +107,29 @@
 
 
 def decode_items(answer: dict[str, Any], name: str) -> list[StoredValue]:
-    """Read a list of items."""
+    """Decode a list of items."""
     found = answer.get(name, [])
     if not isinstance(found, list):
         raise PlatformReplyError(
-            message=f'{name} is {found!r}',
-            hint='check that the address is that of the store',
+            message=f'{name} is not a list: {found!r}',
+            hint='check the address of the store',
         )
     return [decode_item(item) for item in found]
 
 
 def decode_revision(answer: dict[str, Any]) -> int:
-    """Return the store's revision at which a call was answered."""
+    """Return the revision of the store in an answer."""
     revision = answer.get('AsOf')
     if not isinstance(revision, int):
         raise PlatformReplyError(
-            message=f'AsOf is {revision!r}',
-            hint='check that the address is that of the store',
+            message=f'AsOf is not an integer: {revision!r}',
+            hint='check the address of the store',
         )
     return revision
 
 
 def decode_item(item: dict[str, Any]) -> StoredValue:
-    """Read one item; a removed one has no value left."""
+    """Decode one item; a removed one has an empty value."""
     try:
         return StoredValue(
             key=str(item['Key']),
@@ -144,22 +143,22 @@
     except (KeyError, TypeError, ValueError, binascii.Error) as error:
         raise PlatformReplyError(
             message=f'an item of the store cannot be read: {error!r}',
-            hint='check that the address is that of the store',
+            hint='check the address of the store',
         ) from error
 
 
 def decode_body(target: str, reply: HttpReply) -> dict[str, Any]:
-    """Read the JSON object of an answer."""
+    """Decode the JSON object of an answer."""
     try:
         answer = json.loads(reply.body)
     except ValueError as error:
         raise PlatformReplyError(
-            message=f'{target} answered something that is not JSON',
-            hint='check that the address is that of the store',
+            message=f'{target} did not answer with JSON',
+            hint='check the address of the store',
         ) from error
     if not isinstance(answer, dict):
         raise PlatformReplyError(
-            message=f'{target} answered {type(answer).__name__}',
-            hint='check that the address is that of the store',
+            message=f'{target} answered no object: {type(answer).__name__}',
+            hint='check the address of the store',
         )
     return answer
--- a/burdocksill/platform/etcd.py
+++ b/burdocksill/platform/etcd.py
@@ -19,24 +19,24 @@
 from burdocksill.platform.values import Snapshot, StoredValue
 
 CALL_TIMEOUT_SECONDS: Final = 2.0
-# A watch is quiet while nothing changes; it is renewed after this silence so
-# that a connection which died without a word is noticed.
-WATCH_SILENCE_SECONDS: Final = 30.0
+# A watch receives nothing while nothing changes; it is renewed after this time,
+# so that a dead connection is noticed.
+WATCH_IDLE_TIMEOUT_SECONDS: Final = 30.0
 
 
 def encode_text(text: str) -> str:
-    """Write text in the gateway's base64 form."""
+    """Encode text in base64, as the gateway requires."""
     return base64.b64encode(text.encode()).decode()
 
 
 def range_end(prefix: str) -> str:
-    """Return the base64 end of the key range that starts with a prefix."""
+    """Return the base64 end of the range of keys with a prefix."""
     last = prefix.encode()
     return base64.b64encode(last[:-1] + bytes([last[-1] + 1])).decode()
 
 
 def decode_pair(pair: dict[str, Any]) -> StoredValue:
-    """Read one key-value pair of the gateway's JSON."""
+    """Decode a key-value pair of the gateway's JSON."""
     return StoredValue(
         key=base64.b64decode(pair['key']).decode(),
         value=base64.b64decode(pair.get('value', '')),
@@ -46,14 +46,14 @@
 
 @attrs.define(kw_only=True)
 class EtcdPlatform:
-    """Call the gateway over HTTP; one instance for each process."""
+    """Client of the gateway over HTTP; one instance for each process."""
 
     endpoint: str
     client: httpx.AsyncClient = attrs.field()
 
     @client.default
     def make_client(self) -> httpx.AsyncClient:
-        """Make a client with bounded waits."""
+        """Return an HTTP client with time-outs."""
         return httpx.AsyncClient(
             base_url=self.endpoint,
             timeout=CALL_TIMEOUT_SECONDS,
@@ -61,25 +61,25 @@
         )
 
     async def call(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
-        """Post one call and return its JSON answer."""
+        """Make one call and return its JSON answer."""
         try:
             reply = await self.client.post(path, json=body)
         except httpx.HTTPError as error:
             raise PlatformUnavailableError(
                 message=f'{self.endpoint}{path} did not answer: {error!r}',
-                hint='the platform may be down; what is in force stays',
+                hint='the platform may be down; the state in force is kept',
             ) from error
         if reply.status_code != httpx.codes.OK:
             raise PlatformUnavailableError(
                 message=f'{self.endpoint}{path} answered {reply.status_code}',
-                hint='try again; read the key back after a write',
+                hint='try again; after a write, read the key first',
             )
         try:
             answer: dict[str, Any] = reply.json()
         except ValueError as error:
             raise PlatformReplyError(
-                message=f'{path} answered something that is not JSON',
-                hint='check that the endpoint is the platform service',
+                message=f'{path} did not answer with JSON',
+                hint='check the endpoint of the platform service',
             ) from error
         return answer
 
@@ -90,7 +90,7 @@
         return decode_pair(pairs[0]) if pairs else None
 
     async def read_prefix(self, prefix: str) -> Snapshot:
-        """Return all values below a prefix at one revision."""
+        """Return all values with a prefix, at one revision."""
         answer = await self.call(
             '/v3/kv/range',
             {'key': encode_text(prefix), 'range_end': range_end(prefix)},
@@ -143,7 +143,7 @@
         prefix: str,
         from_revision: int,
     ) -> AsyncGenerator[StoredValue, None]:
-        """Yield changes below a prefix, oldest first, until the call ends."""
+        """Yield changes of keys with a prefix, oldest first."""
         create = {
             'key': encode_text(prefix),
             'range_end': range_end(prefix),
@@ -155,7 +155,7 @@
             json={'create_request': create},
             timeout=httpx.Timeout(
                 CALL_TIMEOUT_SECONDS,
-                read=WATCH_SILENCE_SECONDS,
+                read=WATCH_IDLE_TIMEOUT_SECONDS,
             ),
         )
         try:
@@ -166,11 +166,11 @@
         except httpx.HTTPError as error:
             raise PlatformUnavailableError(
                 message=f'the watch of {prefix} ended: {error!r}',
-                hint='it is opened again',
+                hint='the watch is opened again',
             ) from error
 
     async def list_vms(self) -> tuple[VmRecord, ...]:
-        """Return the lagging list of live and leaving VMs."""
+        """Return the live and leaving VMs; the list lags behind."""
         snapshot = await self.read_prefix(keys.VMS)
         try:
             return tuple(
@@ -185,13 +185,13 @@
 
 
 def decode_events(line: str) -> list[StoredValue]:
-    """Read one line of a watch's answer."""
+    """Decode the events in one line of a watch's answer."""
     if not line.strip():
         return []
     answer = json.loads(line).get('result', {})
     if answer.get('canceled'):
-        # The stream stays open and silent after this: without an error, a
-        # watch from a compacted revision would miss every change.
+        # The gateway keeps the stream open after this without sending events:
+        # without an error, the watch would miss every change.
         raise PlatformCompactedError(
             revision=int(answer.get('compact_revision', 0)),
         )
--- a/burdocksill/platform/protocols.py
+++ b/burdocksill/platform/protocols.py
@@ -1,4 +1,4 @@
-"""What the fleet needs of the platform, in few methods."""
+"""Interface of the platform service."""
 
 import enum
 from collections.abc import AsyncGenerator
@@ -11,7 +11,7 @@
 
 @attrs.frozen(kw_only=True)
 class SwapResult:
-    """Tell whether a compare-and-swap took effect, and what stands now."""
+    """Outcome of a compare-and-swap, with the value that is stored now."""
 
     accepted: bool
     revision: int
@@ -19,7 +19,7 @@
 
 
 class VmState(enum.StrEnum):
-    """Name the states of the platform's lagging VM list."""
+    """State of a VM in the platform's list, which lags behind."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -27,7 +27,7 @@
 
 @attrs.frozen(kw_only=True)
 class VmRecord:
-    """Describe one VM as the platform's lagging list shows it."""
+    """A VM as shown in the platform's list, which lags behind."""
 
     name: str
     domain: str
@@ -40,13 +40,13 @@
 
 
 class Platform(Protocol):
-    """Read, swap and watch keys; every call may raise BurdocksillError."""
+    """Read, write and watch keys; every call may raise BurdocksillError."""
 
     async def read(self, key: str) -> StoredValue | None:
         """Return one value, or None when the key is absent."""
 
     async def read_prefix(self, prefix: str) -> Snapshot:
-        """Return all values below a prefix at one revision."""
+        """Return all values with a prefix, at one revision."""
 
     async def compare_and_swap(
         self,
@@ -63,7 +63,7 @@
         prefix: str,
         from_revision: int,
     ) -> AsyncGenerator[StoredValue, None]:
-        """Yield changes below a prefix, oldest first, until the call ends."""
+        """Yield changes of keys with a prefix, oldest first."""
 
     async def list_vms(self) -> tuple[VmRecord, ...]:
-        """Return the lagging list of live and leaving VMs."""
+        """Return the live and leaving VMs; the list lags behind."""
