--- a/burdocksill/platform/__init__.py
+++ b/burdocksill/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform service: compare-and-swap, leases, watches, VM list."""
+"""Client of the platform service: keys, leases, watches and the VM list."""
--- a/burdocksill/platform/checks.py
+++ b/burdocksill/platform/checks.py
@@ -1,4 +1,4 @@
-"""Check that the platform and what burdocksill needs of it can be reached."""
+"""Check that the platform answers and has the required records."""
 
 from burdocksill.checks.messages import (
     CheckMessage,
@@ -14,7 +14,7 @@
 
 
 async def check_platform(context: CheckContext) -> list[CheckMessage]:
-    """Read what every VM reads when it starts."""
+    """Read the records that every VM reads when it starts."""
     if context.platform is None:
         return [note(101, 'no platform was given; it was not asked')]
     try:
@@ -22,11 +22,11 @@
         records = await context.platform.list_vms()
     except BurdocksillError as error:
         return [error_message(error)]
-    return [*missing(snapshot), *unlisted(records)]
+    return [*check_records(snapshot), *check_vms(records)]
 
 
-def missing(snapshot: Snapshot) -> list[CheckMessage]:
-    """Warn of records without which the fleet cannot serve."""
+def check_records(snapshot: Snapshot) -> list[CheckMessage]:
+    """Warn of missing records without which the fleet cannot serve."""
     names = {stored.key for stored in snapshot.values}
     found: list[CheckMessage] = []
     if keys.FLEET_KEYS not in names:
@@ -48,8 +48,8 @@
     return found
 
 
-def unlisted(records: tuple[VmRecord, ...]) -> list[CheckMessage]:
-    """Warn of an empty list of VMs and of VMs that status cannot ask."""
+def check_vms(records: tuple[VmRecord, ...]) -> list[CheckMessage]:
+    """Warn of an empty list of VMs, and of VMs without an admin port."""
     if not records:
         return [
             warning(
--- a/burdocksill/platform/keys.py
+++ b/burdocksill/platform/keys.py
@@ -1,4 +1,4 @@
-"""Names of the keys that burdocksill uses in the platform service."""
+"""Keys that burdocksill uses in the platform service."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 DOCUMENTS: Final = '/burdocksill/documents/'
 DOMAINS: Final = '/burdocksill/domains/'
 FLEET_KEYS: Final = '/burdocksill/keys'
-# Never written to the store: the watchers make it from the list of VMs.
+# Never written to the store: the watchers derive it from the list of VMs.
 DEPARTURES: Final = '/burdocksill/departures'
-# One key a failure domain: the node that reads the store for it.
+# One key for each failure domain: the node that reads the store for it.
 READERS: Final = 'burdocksill/readers/'
-# The platform itself writes this prefix; burdocksill only reads it.
+# Written by the platform; burdocksill only reads it.
 VMS: Final = '/platform/vms/'
 
 
--- a/burdocksill/platform/values.py
+++ b/burdocksill/platform/values.py
@@ -1,4 +1,4 @@
-"""What the platform's store holds, as data."""
+"""Values of the platform's store."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class StoredValue(Value):
-    """Hold one key as the platform stores it; revision 0 means absent."""
+    """A key with its value and revision; revision 0 means absent."""
 
     __slots__ = ('key', 'removed', 'revision', 'value')
 
@@ -20,16 +20,16 @@
         revision: int,
         removed: bool = False,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.key = key
         self.value = value
         self.revision = revision
-        # True for the news that the key is there no more.
+        # True in a change that removed the key.
         self.removed = removed
 
 
 class Snapshot(Value):
-    """Hold all values below a prefix, read at one revision."""
+    """The values with a prefix, or changes to them, at one revision."""
 
     __slots__ = ('revision', 'unchanged_seconds', 'values')
 
@@ -40,10 +40,10 @@
         revision: int,
         unchanged_seconds: float = 0,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.values = values
         self.revision = revision
-        # For how long after it was asked the store saw no change.
+        # For how long after the call the store had no change, in seconds.
         self.unchanged_seconds = unchanged_seconds
 
 
