--- a/burdocksill/network/exchange.py
+++ b/burdocksill/network/exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 request and its answer as bytes, without any socket."""
+"""HTTP/1.1 requests and responses as bytes, without I/O."""
 
 from typing import Final
 
@@ -8,19 +8,19 @@
 from burdocksill.network.addresses import Address
 from burdocksill.network.reply import HttpReply
 
-AGENT: Final = ('User-Agent', 'burdocksill')
+USER_AGENT: Final = ('User-Agent', 'burdocksill')
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class HttpExchange:
-    """Write requests and read answers, one after the other."""
+    """Encode requests and decode responses, one exchange at a time."""
 
     remote: Address
     protocol: h11.Connection = attrs.field(
         factory=lambda: h11.Connection(h11.CLIENT),
     )
     status: int = 0
-    # Length of the body that the answer announces; 0 until it is known.
+    # Content-Length of the response; 0 until it is known.
     expected: int = 0
     parts: list[bytes] = attrs.field(factory=list)
 
@@ -34,7 +34,7 @@
             target=target,
             headers=[
                 ('Host', str(self.remote)),
-                AGENT,
+                USER_AGENT,
                 ('Content-Type', 'application/json'),
                 ('Content-Length', str(len(body))),
             ],
@@ -45,19 +45,19 @@
         return out + (self.protocol.send(h11.EndOfMessage()) or b'')
 
     def receive(self, received: bytes) -> HttpReply | None:
-        """Take in bytes; return the answer once it is whole."""
+        """Decode received bytes; return the response once it is complete."""
         self.protocol.receive_data(received)
         while True:
             event = self.protocol.next_event()
             if event is h11.NEED_DATA:
                 return None
-            if self.take(event):
+            if self.handle_event(event):
                 return HttpReply(status=self.status, body=b''.join(self.parts))
 
-    def take(self, event: object) -> bool:
-        """Take in one event; return True for the end of an answer."""
+    def handle_event(self, event: object) -> bool:
+        """Handle one h11 event; return True at the end of a response."""
         if isinstance(event, h11.ConnectionClosed):
-            raise ConnectionResetError(f'{self.remote} closed')
+            raise ConnectionResetError(f'{self.remote} closed the connection')
         if isinstance(event, h11.Response):
             self.status = event.status_code
             self.expected = body_length(event)
@@ -65,8 +65,8 @@
             self.parts.append(bytes(event.data))
         return isinstance(event, h11.EndOfMessage)
 
-    def next_round(self) -> bool:
-        """Prepare for another request; False when the connection ends."""
+    def prepare_next_request(self) -> bool:
+        """Prepare for another request; return False if it must close."""
         if self.protocol.our_state is h11.MUST_CLOSE:
             return False
         self.protocol.start_next_cycle()
@@ -74,7 +74,7 @@
 
 
 def body_length(response: h11.Response) -> int:
-    """Return the announced length of a body, 0 where none is."""
+    """Return the Content-Length of a response, 0 if it has none."""
     for name, text in response.headers:
         if name == b'content-length':
             return int(text)
--- a/burdocksill/network/http.py
+++ b/burdocksill/network/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 over streams, for the platform's store and the node's own pages."""
+"""HTTP/1.1 over streams: client of the store, server of the node's pages."""
 
 import math
 from collections.abc import Awaitable, Callable
@@ -14,25 +14,25 @@
 from burdocksill.network.reply import HttpReply
 
 READ_BYTES: Final = 65536
-# An answer of which nothing more arrives for this long is lost.
-ANSWER_SILENCE_SECONDS: Final = 1.0
-# A page that a client is slow to ask for or to read is given up after this.
+# Longest time between two received parts of a response.
+RESPONSE_IDLE_SECONDS: Final = 1.0
+# Longest time to receive one request and send its response.
 SERVE_TIMEOUT_SECONDS: Final = 3.0
 
 
 class AnswerTooLargeError(Exception):
-    """Say that an answer announces more bytes than the caller takes."""
+    """The Content-Length of a response exceeds the caller's limit."""
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class HttpConnection:
-    """Exchange one request after the other over one kept connection."""
+    """Persistent client connection with one request at a time."""
 
     network: Network
     remote: Address
     stream: trio.abc.Stream | None = None
     exchanger: HttpExchange = attrs.field(init=False)
-    # Bytes of the latest answer, and the length that its body should have.
+    # Received bytes of the latest response, and its Content-Length.
     received: int = 0
     expected: int = 0
 
@@ -45,12 +45,12 @@
         timeout: float,
         largest: float = math.inf,
     ) -> HttpReply:
-        """Return the answer; OSError, trio or h11 errors when there is none.
+        """Return the response; raise OSError, trio or h11 errors.
 
-        `timeout` is in seconds until the answer begins to arrive. One of more
-        than `largest` bytes is not read: AnswerTooLargeError. After any error
-        the connection is closed: a late answer must never be taken for that of
-        the next request.
+        `timeout` is in seconds until the response begins to arrive. Raise
+        AnswerTooLargeError for one of more than `largest` bytes. After any
+        error the connection is closed, so that a late response is never taken
+        for the one to the next request.
         """
         self.received = 0
         self.expected = 0
@@ -61,7 +61,7 @@
         except BaseException:
             await self.close()
             raise
-        if not self.exchanger.next_round():
+        if not self.exchanger.prepare_next_request():
             await self.close()
         return reply
 
@@ -71,7 +71,7 @@
         target: str,
         body: bytes,
     ) -> trio.abc.Stream:
-        """Send a request, over a new connection if there is none."""
+        """Send a request; connect first if there is no connection."""
         if self.stream is None:
             self.stream = await self.network.connect(self.remote)
             self.exchanger = HttpExchange(remote=self.remote)
@@ -85,16 +85,15 @@
         limit: trio.CancelScope,
         largest: float,
     ) -> HttpReply:
-        """Read a whole answer, however long it takes to arrive.
+        """Receive a complete response, without a limit on the total time.
 
-        A limit on the whole would be shorter than what a slow link needs for
-        a large answer. The next call would begin it anew and end the same way,
-        so that the node would learn of no change any more.
+        With such a limit, a large response over a slow link would time out, and
+        so would each retry: the node would never receive a change again.
         """
         reply = None
         while reply is None:
             received = await stream.receive_some(READ_BYTES)
-            limit.deadline = trio.current_time() + ANSWER_SILENCE_SECONDS
+            limit.deadline = trio.current_time() + RESPONSE_IDLE_SECONDS
             reply = self.exchanger.receive(bytes(received))
             self.received += len(received)
             self.expected = self.exchanger.expected
@@ -103,7 +102,7 @@
         return reply
 
     async def close(self) -> None:
-        """Close without waiting; the next exchange connects anew."""
+        """Close without waiting; the next exchange opens a new connection."""
         stream = self.stream
         self.stream = None
         if stream is not None:
@@ -114,7 +113,7 @@
     protocol: h11.Connection,
     stream: trio.abc.Stream,
 ) -> object:
-    """Return the next event, reading as often as it takes."""
+    """Return the next h11 event; receive bytes until there is one."""
     while True:
         event = protocol.next_event()
         if event is not h11.NEED_DATA:
@@ -126,15 +125,15 @@
 
 
 async def serve_connection(stream: trio.abc.Stream, handler: Handler) -> None:
-    """Answer one request for a page, then close."""
+    """Serve one request, then close the connection."""
     protocol = h11.Connection(h11.SERVER)
     with trio.move_on_after(SERVE_TIMEOUT_SECONDS):
         async with stream:
             try:
                 await answer(protocol, stream, handler)
             except (h11.ProtocolError, OSError, trio.BrokenResourceError):
-                # The client went away or speaks something else; its next
-                # try is a new connection, and nobody waits for this one.
+                # The client closed the connection or does not speak HTTP; it
+                # needs a new connection for its next attempt.
                 return
 
 
@@ -143,7 +142,7 @@
     stream: trio.abc.Stream,
     handler: Handler,
 ) -> None:
-    """Read one request and send what the handler answers."""
+    """Receive one request and send the handler's response."""
     request = await next_event(protocol, stream)
     if not isinstance(request, h11.Request):
         return
--- a/burdocksill/network/minimal_http.py
+++ b/burdocksill/network/minimal_http.py
@@ -1,9 +1,9 @@
-"""The few HTTP calls that a process makes before its libraries are there.
+"""Minimal HTTP/1.1 client for the initial read of the store.
 
-Importing h11 takes longer than all that the first reading needs besides. This
-reads the answers of one kind that the store gives: a status and a body whose
-length is told. Anything else is an error, and the program proper, which has
-h11, reads the store again.
+Importing h11 takes longer than everything else that the initial read needs.
+This module decodes only the responses that the store sends: a status and a body
+with Content-Length. Anything else is an error, after which the main program
+reads the store again with h11.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
     from burdocksill.network.addresses import Address
 
 END_OF_HEAD: Final = b'\r\n\r\n'
-# Far more than the head of any answer takes.
-LARGEST_HEAD: Final = 16384
+# Far above the size of the store's response heads.
+MAX_HEAD_BYTES: Final = 16384
 VERSION: Final = 'HTTP/1.1'
 
 
 class MinimalHttpError(ConnectionError):
-    """Say that an answer is of another kind than is read here."""
+    """A response is malformed or of a kind that is not supported here."""
 
 
 class MinimalHttpExchange:
-    """Write requests without a body and read their answers, in turn."""
+    """Encode GET requests and decode responses, one exchange at a time."""
 
     __slots__ = ('body_at', 'buffer', 'end_at', 'remote', 'status')
 
     def __init__(self, *, remote: Address) -> None:
-        """Begin with nothing read."""
+        """Start with an empty buffer."""
         self.remote = remote
         self.buffer = bytearray()
-        # Where the answer's body begins and ends in the buffer; 0 until its
-        # head is there.
+        # Offsets of the response body in the buffer; 0 until the head is
+        # complete.
         self.body_at: int = 0
         self.end_at: int = 0
         self.status: int = 0
@@ -49,9 +49,9 @@
         ).encode()
 
     def receive(self, received: bytes) -> HttpReply | None:
-        """Take in bytes; return the answer once it is whole."""
+        """Decode received bytes; return the response once it is complete."""
         if not received:
-            raise MinimalHttpError(f'{self.remote} closed')
+            raise MinimalHttpError(f'{self.remote} closed the connection')
         self.buffer += received
         if not (self.body_at or self.find_head()):
             return None
@@ -63,11 +63,11 @@
         return HttpReply(status=self.status, body=body)
 
     def find_head(self) -> bool:
-        """Read the head; False until the whole of it is there."""
+        """Decode the head; return False until it is complete."""
         end = self.buffer.find(END_OF_HEAD)
         if end < 0:
-            if len(self.buffer) > LARGEST_HEAD:
-                raise MinimalHttpError('the head of the answer has no end')
+            if len(self.buffer) > MAX_HEAD_BYTES:
+                raise MinimalHttpError('the response head is too long')
             return False
         status, length = read_head(bytes(self.buffer[:end]))
         self.status = status
@@ -77,7 +77,7 @@
 
 
 def read_head(head: bytes) -> tuple[int, int]:
-    """Return the status and the length of the body."""
+    """Return the status and Content-Length of a response head."""
     first, *lines = head.decode('latin-1').split('\r\n')
     version, _, rest = first.partition(' ')
     status = rest[:3]
@@ -87,5 +87,5 @@
         fields[name.strip().lower()] = text.strip()
     length = fields.get('content-length', '')
     if version != VERSION or not status.isdecimal() or not length.isdecimal():
-        raise MinimalHttpError(f'cannot read an answer that begins {first!r}')
+        raise MinimalHttpError(f'unsupported response: {first!r}')
     return int(status), int(length)
