--- a/burdocksill/network/__init__.py
+++ b/burdocksill/network/__init__.py
@@ -1,1 +1,1 @@
-"""Addresses, datagrams, streams and clocks behind Protocols."""
+"""Sockets, HTTP, addresses and clocks, with interfaces for tests."""
--- a/burdocksill/network/addresses.py
+++ b/burdocksill/network/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of processes, without anything that could open them."""
+"""Addresses, in a module without imports that delay a start."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Address(Value):
-    """Name one IP address and port."""
+    """An IP address and port."""
 
     __slots__ = ('host', 'port')
 
@@ -15,10 +15,10 @@
         host: str,
         port: int,
     ) -> None:
-        """Take all fields."""
+        """Store the host and the port."""
         self.host = host
         self.port = port
 
     def __str__(self) -> str:
-        """Write the address as host:port."""
+        """Return host:port."""
         return f'{self.host}:{self.port}'
--- a/burdocksill/network/clock.py
+++ b/burdocksill/network/clock.py
@@ -1,17 +1,16 @@
-"""Steady clocks."""
+"""Monotonic clocks."""
 
 import time
 from collections.abc import Callable
 
-# Returns steady seconds: those of the system, or of a test.
+# Returns monotonic seconds, of the system or of a test.
 Clock = Callable[[], float]
 
 
 def boot_seconds() -> float:
-    """Return the seconds since the machine started.
+    """Return the seconds since boot, including suspended time.
 
-    Unlike the monotonic clock it counts the time for which a machine was
-    suspended. A node that woke up would else tell others that what it knew
-    before is new.
+    With a clock that stops during suspension, a node that resumes would report
+    outdated state to its peers as recent.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/burdocksill/network/exceptions.py
+++ b/burdocksill/network/exceptions.py
@@ -4,6 +4,6 @@
 
 
 class AddressUnavailableError(BurdocksillError):
-    """Say that an address cannot be bound on this VM."""
+    """An address cannot be bound on this VM."""
 
     code = 'burdocksill.E010'
--- a/burdocksill/network/protocols.py
+++ b/burdocksill/network/protocols.py
@@ -1,4 +1,4 @@
-"""Interfaces of the network and the clock, so that tests can replace them."""
+"""Interfaces of the network and the clock, replaced by fakes in tests."""
 
 from typing import Protocol
 
@@ -12,27 +12,27 @@
 
 @attrs.frozen
 class Datagram:
-    """Hold one received payload and its sender."""
+    """A received payload and its sender."""
 
     payload: bytes
     peer: Address
 
 
 class DatagramSocket(Protocol):
-    """Send and receive datagrams without one system wait for each."""
+    """Datagram socket that receives in batches."""
 
     @property
     def local(self) -> Address:
         """Return the bound address."""
 
     async def receive(self) -> list[Datagram]:
-        """Wait until something arrived, then return a bounded batch."""
+        """Wait for datagrams and return a bounded batch."""
 
     def send(self, payload: bytes, peer: Address) -> bool:
-        """Send without blocking; return False when it was dropped here."""
+        """Send without blocking; return False if it was dropped locally."""
 
     def close(self) -> None:
-        """Release the socket."""
+        """Close the socket."""
 
 
 class Network(Protocol):
@@ -46,7 +46,7 @@
 
 
 class WallClock(Protocol):
-    """Tell the time of day, which may jump; use trio's clock for waits."""
+    """Time of day, which may jump; use trio's clock for waits."""
 
     def now(self) -> float:
         """Return seconds since the epoch."""
--- a/burdocksill/network/reply.py
+++ b/burdocksill/network/reply.py
@@ -1,4 +1,4 @@
-"""An HTTP answer, without anything that could read one."""
+"""HTTP response, in a module without imports that delay a start."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class HttpReply(Value):
-    """Hold an answer with its whole body."""
+    """An HTTP response with its complete body."""
 
     __slots__ = ('body', 'media_type', 'status')
 
@@ -17,7 +17,7 @@
         body: bytes = b'',
         media_type: str = 'text/plain; charset=utf-8',
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.status = status
         self.body = body
         self.media_type = media_type
