--- a/burdocksill/observe/counters.py
+++ b/burdocksill/observe/counters.py
@@ -24,12 +24,12 @@
 PERCENT: Final = 100
 PREFIX: Final = 'burdocksill_'
 
-# A second line for each counter with its time of birth helps nobody here.
+# Leaves out the `_created` sample of each counter, which is not used.
 disable_created_metrics()  # type: ignore[no-untyped-call]
 
 
 def make_histogram() -> HdrHistogram:
-    """Make a histogram of microseconds up to an hour."""
+    """Return a histogram of microseconds, up to an hour."""
     return HdrHistogram(
         LOWEST_MICROSECONDS,
         HIGHEST_MICROSECONDS,
@@ -39,14 +39,14 @@
 
 @attrs.define(kw_only=True)
 class LabelledHistogram:
-    """Hold the durations of one name and set of labels."""
+    """Durations of one name and set of labels."""
 
     name: str
     labels: dict[str, str]
     values: HdrHistogram = attrs.field(factory=make_histogram)
 
     def add_to(self, metric: Metric) -> None:
-        """Write the quantiles and the count, in seconds."""
+        """Add the quantiles, in seconds, and the count to a metric."""
         for quantile in QUANTILES:
             microseconds = self.values.get_value_at_percentile(
                 quantile * PERCENT,
@@ -62,12 +62,12 @@
 
 @attrs.define(kw_only=True, eq=False)
 class HistogramCollector(Collector):
-    """Show histograms as summaries, one line for each quantile."""
+    """Collector that exports histograms as summaries with quantiles."""
 
     histograms: dict[tuple[object, ...], LabelledHistogram]
 
     def collect(self) -> Iterator[Metric]:
-        """Return one summary for each name."""
+        """Yield one summary for each name."""
         metrics: dict[str, Metric] = {}
         for histogram in self.histograms.values():
             name = histogram.name
@@ -83,7 +83,7 @@
 
 @attrs.define(kw_only=True)
 class Counters:
-    """Count by name and labels; one instance for each VM."""
+    """Counters and histograms of one VM, by name and labels."""
 
     registry: CollectorRegistry = attrs.field(factory=CollectorRegistry)
     families: dict[str, Counter] = attrs.field(factory=dict)
@@ -93,13 +93,13 @@
     )
 
     def __attrs_post_init__(self) -> None:
-        """Let the histograms be rendered with the counters."""
+        """Register the histograms for rendering."""
         self.registry.register(HistogramCollector(histograms=self.histograms))
 
     def add(self, name: str, amount: float = 1, **labels: str) -> None:
         """Add to a counter; its label names are those of the first call."""
-        # The library sorts and joins label values at each lookup; keeping
-        # what it found halves the cost of a count (tools/observe_cost.py).
+        # The library sorts and joins label values at each lookup; caching the
+        # result halves the cost of a count (tools/observe_cost.py).
         key = (name, *labels.items())
         child = self.children.get(key)
         if child is None:
@@ -108,7 +108,7 @@
         child.inc(amount)
 
     def child(self, name: str, labels: dict[str, str]) -> Counter:
-        """Return the counter of a name and its labels' values."""
+        """Return the counter of a name and label values."""
         family = self.families.get(name)
         if family is None:
             family = Counter(
@@ -121,7 +121,7 @@
         return family.labels(**labels) if labels else family
 
     def value(self, name: str, **labels: str) -> float:
-        """Return a counter's value, 0 when it was never added to."""
+        """Return the value of a counter, 0 if it does not exist."""
         found = self.registry.get_sample_value(f'{PREFIX}{name}_total', labels)
         return found or 0
 
@@ -137,7 +137,7 @@
 
     @contextmanager
     def timed(self, name: str, **labels: str) -> Iterator[None]:
-        """Record how long the block took, whatever became of it."""
+        """Record the duration of the block, also if it raises."""
         began = trio.current_time()
         try:
             yield
@@ -145,5 +145,5 @@
             self.record(name, trio.current_time() - began, **labels)
 
     def render(self) -> str:
-        """Write all counters in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry).decode()
--- a/burdocksill/observe/decisions.py
+++ b/burdocksill/observe/decisions.py
@@ -1,7 +1,7 @@
-"""The latest decisions of one VM, so that it can explain what it did.
+"""Recent decisions of one VM, for explanations.
 
-The ring lives in memory alone and holds a bounded number of decisions: an
-explanation is for the last minutes, counters are for everything before.
+They are kept in a ring buffer in memory, which covers the last minutes. For
+anything earlier there are counters.
 """
 
 import enum
@@ -22,7 +22,7 @@
 
 
 class Step(enum.StrEnum):
-    """Name what a VM decided for a request."""
+    """Kind of a decision on a request."""
 
     PLACED = 'placed'
     FOLLOWED = 'followed-cookie'
@@ -32,7 +32,7 @@
 
 @attrs.frozen(kw_only=True)
 class Decision:
-    """Hold one decision; `peer` is the VM to which the request went."""
+    """A decision; `peer` is the VM to which the request was sent."""
 
     at: float
     step: Step
@@ -47,7 +47,7 @@
 
 @attrs.define(kw_only=True)
 class DecisionLog:
-    """Keep the latest decisions, the oldest first."""
+    """Ring buffer of the latest decisions, oldest first."""
 
     clock: WallClock
     ring: deque[Decision] = attrs.field(
@@ -55,7 +55,7 @@
     )
 
     def placed(self, envelope: Envelope, upstream: str, owner: Member) -> None:
-        """Keep where a new flow was placed."""
+        """Record where a new flow was placed."""
         self.ring.append(
             Decision(
                 at=self.clock.now(),
@@ -73,7 +73,7 @@
         cookie: Cookie,
         member: Member,
     ) -> None:
-        """Keep to which VM a cookie led."""
+        """Record to which VM a request was sent by its cookie."""
         self.ring.append(
             Decision(
                 at=self.clock.now(),
@@ -86,23 +86,23 @@
         )
 
     def answered(self, envelope: Envelope, answer: Answer) -> None:
-        """Keep an answer; one that opens a flow names it by its cookie.
+        """Record an answer, with the flow id if it opens a flow.
 
-        A feed's notifications are many and tell nothing of a decision; they
-        would push out what operators ask about.
+        Notifications of feeds are left out: they contain no decision and are
+        so many that they would displace the others.
         """
         if answer.observe is not None:
             return
-        opens = answer.reason is Reason.COOKIE_NEEDED
-        owner_answers = len(answer.hops) > len(envelope.hops)
+        opens_flow = answer.reason is Reason.COOKIE_NEEDED
+        is_from_owner = len(answer.hops) > len(envelope.hops)
         self.ring.append(
             Decision(
                 at=self.clock.now(),
-                step=Step.OPENED if opens else Step.ANSWERED,
+                step=Step.OPENED if opens_flow else Step.ANSWERED,
                 service=envelope.request.service,
                 token=envelope.request.token,
-                flow_id=answer.cookie[FLOW_ID_SLICE] if opens else b'',
-                upstream=answer.hops[-1] if owner_answers else '',
+                flow_id=answer.cookie[FLOW_ID_SLICE] if opens_flow else b'',
+                upstream=answer.hops[-1] if is_from_owner else '',
                 verdict=answer.verdict.value,
                 reason=answer.reason.value if answer.reason else '',
             ),
@@ -114,22 +114,26 @@
         flow_id: bytes,
         tokens: frozenset[bytes],
     ) -> list[Decision]:
-        """Return the decisions on some requests, or on all of a flow.
+        """Return the decisions on requests with some tokens or of a flow.
 
-        An answer is recorded under its request's token alone, so the tokens
-        of the flow are found first.
+        An answer is recorded only with its request's token, so the tokens of
+        the flow are collected first.
         """
         wanted = set(tokens)
         if flow_id:
             wanted |= {
-                kept.token for kept in self.ring if kept.flow_id == flow_id
+                decision.token
+                for decision in self.ring
+                if decision.flow_id == flow_id
             }
-        return self.select(lambda kept: kept.token in wanted)
+        return self.select(lambda decision: decision.token in wanted)
 
     def refused_since(self, earliest: float) -> Iterable[Decision]:
-        """Return answers that say why a request failed."""
-        return self.select(lambda kept: kept.reason and kept.at >= earliest)
+        """Return decisions since a time that have a failure reason."""
+        return self.select(
+            lambda decision: decision.reason and decision.at >= earliest
+        )
 
-    def select(self, wanted: Callable[[Decision], object]) -> list[Decision]:
-        """Return the decisions that are wanted, the oldest first."""
-        return [kept for kept in self.ring if wanted(kept)]
+    def select(self, matches: Callable[[Decision], object]) -> list[Decision]:
+        """Return the matching decisions, oldest first."""
+        return [decision for decision in self.ring if matches(decision)]
