--- a/burdocksill/observe/__init__.py
+++ b/burdocksill/observe/__init__.py
@@ -1,1 +1,1 @@
-"""Counters, histograms, spans and lines for changes of state."""
+"""Metrics, traces, logs and the record of recent decisions."""
--- a/burdocksill/observe/early.py
+++ b/burdocksill/observe/early.py
@@ -1,8 +1,8 @@
-"""Log lines of modules that run before logging is imported.
+"""Logger for modules that run before logging is imported.
 
-The import of logging takes longer than a node needs to read the store, and no
-packet is forwarded before. Until the program sets a writer, lines go through
-logging as everywhere else.
+Importing logging takes longer than the initial read of the store, and no packet
+is forwarded before that. Without a writer, as in tests, lines go through the
+logging module.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 LEVELS: Final = MappingProxyType(
     {'DEBUG': 10, 'INFO': 20, 'WARNING': 30, 'ERROR': 40},
 )
-NOTHING: Final[Mapping[str, object]] = MappingProxyType({})
+NO_FIELDS: Final[Mapping[str, object]] = MappingProxyType({})
 
 
 class EarlyLines:
-    """Hold where early lines go, and from which level on."""
+    """Writer and lowest level of early log lines."""
 
     __slots__ = ('threshold', 'writer')
 
     def __init__(self) -> None:
-        """Begin without a writer."""
+        """Start without a writer, at level INFO."""
         self.writer: LineWriter | None = None
         self.threshold = LEVELS['INFO']
 
     def set_level(self, level: str) -> None:
-        """Leave out lines below a level; one that isn't known means INFO."""
+        """Set the lowest level to write; an unknown name means INFO."""
         self.threshold = LEVELS.get(level.upper(), LEVELS['INFO'])
 
 
@@ -44,36 +44,36 @@
 
 
 class EarlyLogger:
-    """Write lines as a logger of the standard library does."""
+    """Logger with a part of the interface of the standard library's."""
 
     __slots__ = ('name',)
 
     def __init__(self, name: str) -> None:
-        """Keep the name of the module that writes."""
+        """Store the name of the module."""
         self.name = name
 
     def is_enabled(self, level: str) -> bool:
-        """Return True when lines of a level are written."""
+        """Return True if lines of a level are written."""
         if early_lines.writer is None:
-            return self.standard.isEnabledFor(LEVELS[level])
+            return self.standard_logger.isEnabledFor(LEVELS[level])
         return LEVELS[level] >= early_lines.threshold
 
     def info(
         self,
         message: str,
         *,
-        extra: Mapping[str, object] = NOTHING,
+        extra: Mapping[str, object] = NO_FIELDS,
     ) -> None:
-        """Write what was decided or has changed."""
+        """Log a decision or a change at level INFO."""
         self.write('INFO', message, extra)
 
     def warning(
         self,
         message: str,
         *,
-        extra: Mapping[str, object] = NOTHING,
+        extra: Mapping[str, object] = NO_FIELDS,
     ) -> None:
-        """Write what went wrong and is dealt with."""
+        """Log a handled failure at level WARNING."""
         self.write('WARNING', message, extra)
 
     def write(
@@ -82,16 +82,16 @@
         message: str,
         extra: Mapping[str, object],
     ) -> None:
-        """Write a line of a level."""
+        """Write a line if its level is enabled."""
         if not self.is_enabled(level):
             return
         writer = early_lines.writer
         if writer is None:
-            self.standard.log(LEVELS[level], message, extra=extra)
+            self.standard_logger.log(LEVELS[level], message, extra=extra)
             return
         writer.write(level, message, extra, created=time.time())
 
     @property
-    def standard(self) -> logging.Logger:
-        """Return the standard library's logger of the same name."""
+    def standard_logger(self) -> logging.Logger:
+        """Return the logger of the logging module with the same name."""
         return importlib.import_module('logging').getLogger(self.name)  # type: ignore[no-any-return]
--- a/burdocksill/observe/lines.py
+++ b/burdocksill/observe/lines.py
@@ -1,4 +1,4 @@
-"""One line for a change of state, none while the state stays."""
+"""Log lines for changes of state."""
 
 import logging
 
@@ -7,10 +7,10 @@
 
 @attrs.define(kw_only=True)
 class StateLogger:
-    """Remember the state of one subject and write a line when it changes.
+    """Log the state of one subject only when it changes.
 
-    A loop that tries again and again would else write the same line for as
-    long as an outage lasts, and bury the line that says when it began.
+    Otherwise a retry loop would log the same line throughout an outage, and the
+    line that shows when it began would be hard to find.
     """
 
     logger: logging.Logger
@@ -23,7 +23,7 @@
         level: int = logging.INFO,
         **fields: str,
     ) -> None:
-        """Write the state with its fields if it is another than before."""
+        """Log the state with its fields if it differs from the last one."""
         if state == self.state:
             return
         self.state = state
--- a/burdocksill/observe/stdout.py
+++ b/burdocksill/observe/stdout.py
@@ -1,29 +1,29 @@
-"""What goes through logging, as JSON lines on standard output."""
+"""Logging handler that writes JSON lines to standard output."""
 
 import logging
 from typing import Final
 
 from burdocksill.observe.writer import LineWriter
 
-PLAIN_FIELDS: Final = frozenset(
+STANDARD_FIELDS: Final = frozenset(
     logging.LogRecord('', 0, '', 0, '', (), None).__dict__,
 ) | {'message', 'asctime', 'taskName'}
 
 
 class StdoutHandler(logging.Handler):
-    """Hand log records to a writer of lines."""
+    """Handler that writes log records with a LineWriter."""
 
     def __init__(self, *, writer: LineWriter) -> None:
-        """Keep the writer."""
+        """Store the writer."""
         super().__init__()
         self.writer = writer
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record with its fields."""
+        """Write a record with its extra fields."""
         fields = {
             name: field
             for name, field in record.__dict__.items()
-            if name not in PLAIN_FIELDS
+            if name not in STANDARD_FIELDS
         }
         if record.exc_info:
             fields['trace'] = logging.Formatter().formatException(
@@ -39,7 +39,7 @@
 
 
 def log_to_stdout(*, writer: LineWriter, level: str) -> StdoutHandler:
-    """Send all log lines of the process to standard output."""
+    """Make this handler the only one of the root logger."""
     handler = StdoutHandler(writer=writer)
     root = logging.getLogger()
     root.handlers = [handler]
--- a/burdocksill/observe/writer.py
+++ b/burdocksill/observe/writer.py
@@ -1,4 +1,4 @@
-"""JSON lines on a descriptor, bounded, that never block."""
+"""Writer of JSON lines with a rate limit, which never blocks."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
     from collections.abc import Mapping
     from typing import Final
 
-# Lines of one message in a second; more are counted and told with the next.
+# Rate limit of lines with the same message; others are counted.
 LINES_PER_SECOND: Final = 100
 STANDARD_OUTPUT: Final = 1
 
 
-class LineBudget:
-    """Count the lines of one message in the current second."""
+class LineRateLimit:
+    """Rate limit of one message, in windows of a second."""
 
     __slots__ = ('left_out', 'second', 'written')
 
     def __init__(self) -> None:
-        """Begin with a whole second's lines."""
+        """Start with an empty window."""
         self.second = 0
         self.written = 0
         self.left_out = 0
 
-    def take(self, second: int) -> bool:
-        """Return True when there is room for one more line."""
+    def try_acquire(self, second: int) -> bool:
+        """Return True if one more line may be written; count it if not."""
         if second != self.second:
             self.second = second
             self.written = 0
@@ -40,13 +40,13 @@
 
 
 class LineWriter:
-    """Write one JSON object a line; drop and count what can't be written."""
+    """Write one JSON object per line; drop and count failed writes."""
 
     def __init__(self, *, node: str, descriptor: int = STANDARD_OUTPUT) -> None:
-        """Write to a descriptor that does not block."""
+        """Make the descriptor non-blocking and write to it."""
         self.node = node
         self.descriptor = descriptor
-        self.budgets: dict[str, LineBudget] = {}
+        self.rate_limits: dict[str, LineRateLimit] = {}
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
@@ -59,12 +59,14 @@
         created: float,
         template: str = '',
     ) -> None:
-        """Write a line unless its message has used up its second.
+        """Write a line unless its message exceeds the rate limit.
 
-        `template` is what all lines of one message have in common.
+        `template` is the common part of all lines of one message.
         """
-        budget = self.budgets.setdefault(template or message, LineBudget())
-        if not budget.take(int(time.monotonic())):
+        rate_limit = self.rate_limits.setdefault(
+            template or message, LineRateLimit()
+        )
+        if not rate_limit.try_acquire(int(time.monotonic())):
             return
         line: dict[str, object] = {
             'time': round(created, 3),
@@ -73,9 +75,9 @@
             'message': message,
             **fields,
         }
-        if budget.left_out:
-            line['left_out'] = budget.left_out
-            budget.left_out = 0
+        if rate_limit.left_out:
+            line['left_out'] = rate_limit.left_out
+            rate_limit.left_out = 0
         try:
             os.write(
                 self.descriptor,
