--- a/burdocksill/observe/tracing.py
+++ b/burdocksill/observe/tracing.py
@@ -1,8 +1,8 @@
-"""Spans of a request's hops over VMs, off unless a share is chosen.
+"""Tracing of requests over VMs and upstreams; off by default.
 
-A span's context goes from VM to VM in `RelayRequest.traceparent` and to the
-upstream in the HTTP header `traceparent` (W3C Trace Context). Within a VM it
-follows trio's tasks, which inherit the context that starts them.
+The trace context is propagated between VMs in `RelayRequest.traceparent` and to
+the upstream in the HTTP header `traceparent` (W3C Trace Context). Within a VM,
+trio tasks inherit it as a context variable.
 """
 
 import logging
@@ -29,8 +29,8 @@
 TRACEPARENT: Final = 'traceparent'
 SCOPE: Final = 'burdocksill'
 NANOSECONDS_PER_MS: Final = 1_000_000
-# One object for every request that is not traced: making a context manager
-# for each cost 4.6 us a request, this costs 1.1 (tools/observe_cost.py).
+# Shared by all requests that are not traced: this costs 1.1 us a request, a new
+# context manager for each costs 4.6 us (tools/observe_cost.py).
 UNTRACED: Final[AbstractContextManager[None]] = nullcontext()
 PROPAGATOR: Final = TraceContextTextMapPropagator()
 
@@ -38,20 +38,20 @@
 
 
 class LogExporter(SpanExporter):
-    """Write each span as one structured line, where the other lines go.
+    """Export each span as a log line.
 
-    A line that is lost loses a span and nothing else: no decision reads it.
+    If a line is dropped, only that span is lost; no decision depends on it.
     """
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Write spans that have ended."""
+        """Log the spans that have ended."""
         for span in spans:
             logger.info('span', extra={'span': describe(span)})
         return SpanExportResult.SUCCESS
 
 
 def describe(span: ReadableSpan) -> dict[str, str | float]:
-    """Return the fields of a span's line."""
+    """Return the fields of a span's log line."""
     context = span.get_span_context()
     began, ended = span.start_time or 0, span.end_time or 0
     return {
@@ -65,7 +65,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Tracing:
-    """Make the spans of one VM."""
+    """Creates the spans of one VM."""
 
     node: str
     ratio: float = 0
@@ -74,7 +74,7 @@
     tracer: trace.Tracer | None = None
 
     def require_tracer(self) -> trace.Tracer:
-        """Make the tracer when the first request is traced."""
+        """Return the tracer; create it at the first call."""
         if self.tracer is None:
             provider = TracerProvider(
                 resource=Resource(
@@ -87,7 +87,7 @@
         return self.tracer
 
     def first_hop(self, name: str) -> AbstractContextManager[None]:
-        """Trace a share of the requests that come from callers."""
+        """Start a trace for the sampled share of requests from callers."""
         if self.ratio and self.rng.random() < self.ratio:
             return self.span(name, Context())
         return UNTRACED
@@ -97,7 +97,7 @@
         name: str,
         traceparent: str,
     ) -> AbstractContextManager[None]:
-        """Trace what the VM before this one traced."""
+        """Continue a trace of the previous VM, if there is one."""
         if not traceparent:
             return UNTRACED
         parent = PROPAGATOR.extract({TRACEPARENT: traceparent}, Context())
@@ -105,7 +105,7 @@
 
     @contextmanager
     def span(self, name: str, parent: Context) -> Iterator[None]:
-        """Hold one span open and let the tasks started inside inherit it."""
+        """Open a span that tasks started inside inherit."""
         token = ACTIVE.set(self)
         try:
             with self.require_tracer().start_as_current_span(
@@ -118,12 +118,12 @@
             ACTIVE.reset(token)
 
 
-# Who traces the request of the current task, None for most of them.
+# Tracing of the current task's request, None if it is not traced.
 ACTIVE: Final[ContextVar[Tracing | None]] = ContextVar('tracing', default=None)
 
 
 def inner_span(name: str) -> AbstractContextManager[object]:
-    """Hold a span below the current one, if the request is traced."""
+    """Open a child span if the request is traced."""
     tracing = ACTIVE.get()
     if tracing is None:
         return UNTRACED
@@ -131,7 +131,7 @@
 
 
 def current_traceparent() -> str:
-    """Return the context for the next hop, empty when it is not traced."""
+    """Return the trace context for the next hop, empty if not traced."""
     if ACTIVE.get() is None:
         return ''
     carrier: dict[str, str] = {}
