--- a/burdocksill/checks/__init__.py
+++ b/burdocksill/checks/__init__.py
@@ -1,1 +1,1 @@
-"""System checks: messages with ids, levels and hints."""
+"""System checks of settings, documents, platform and fleet."""
--- a/burdocksill/checks/catalog.py
+++ b/burdocksill/checks/catalog.py
@@ -1,4 +1,4 @@
-"""The checks of all slices, in the order in which they run."""
+"""All system checks, in the order in which they run."""
 
 from typing import Final
 
--- a/burdocksill/checks/messages.py
+++ b/burdocksill/checks/messages.py
@@ -1,4 +1,4 @@
-"""What a system check says."""
+"""Messages of system checks."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class Level(enum.IntEnum):
-    """Order messages by how much they matter."""
+    """Severity of a message, as in the logging module."""
 
     INFO = 20
     WARNING = 30
@@ -17,7 +17,7 @@
 
 @attrs.frozen(kw_only=True)
 class CheckMessage:
-    """Say what a check found, under an id that scripts can rely on."""
+    """A finding of a check, with a stable id for scripts."""
 
     level: Level
     id: str
@@ -25,13 +25,13 @@
     hint: str = ''
 
     def __str__(self) -> str:
-        """Write the message as an operator reads it."""
-        cure = f'\n    {self.hint}' if self.hint else ''
-        return f'{self.level.name} ({self.id}) {self.message}{cure}'
+        """Format the message for operators."""
+        suffix = f'\n    {self.hint}' if self.hint else ''
+        return f'{self.level.name} ({self.id}) {self.message}{suffix}'
 
 
 def error_message(error: BurdocksillError) -> CheckMessage:
-    """Turn an error into a message under the error's own code."""
+    """Return a message for an error, with the error's code as id."""
     return CheckMessage(
         level=Level.ERROR,
         id=error.code,
@@ -41,7 +41,7 @@
 
 
 def warning(number: int, message: str, hint: str) -> CheckMessage:
-    """Make a warning with an id of the shape burdocksill.W001."""
+    """Return a warning with an id such as burdocksill.W001."""
     return CheckMessage(
         level=Level.WARNING,
         id=f'burdocksill.W{number:03}',
@@ -51,7 +51,7 @@
 
 
 def note(number: int, message: str) -> CheckMessage:
-    """Make a message about something that is in order."""
+    """Return an informational message with an id such as burdocksill.I101."""
     return CheckMessage(
         level=Level.INFO,
         id=f'burdocksill.I{number:03}',
--- a/burdocksill/checks/registry.py
+++ b/burdocksill/checks/registry.py
@@ -1,4 +1,4 @@
-"""Run the checks that the slices bring, in a fixed order."""
+"""Registration and execution of system checks."""
 
 from collections.abc import Awaitable, Callable, Iterable, Mapping
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 @attrs.frozen(kw_only=True)
 class CheckContext:
-    """Hold what the checks may look at."""
+    """The settings, documents and connections that checks examine."""
 
     settings: Mapping[str, str | None]
     documents: tuple[Path, ...] = ()
@@ -22,15 +22,15 @@
 
 
 class Check(Protocol):
-    """Look at one matter and say what was found."""
+    """A system check."""
 
     async def __call__(self, context: CheckContext) -> list[CheckMessage]:
-        """Return messages, none when there is nothing to say."""
+        """Return the findings, empty if there are none."""
 
 
 @attrs.frozen(kw_only=True)
 class RegisteredCheck:
-    """Hold a check under the tag by which it is chosen."""
+    """A check and the tag by which it is selected."""
 
     tag: str
     check: Check
@@ -42,7 +42,7 @@
     *,
     tags: tuple[str, ...] = (),
 ) -> list[CheckMessage]:
-    """Run the checks with the tags, all of them when no tag is given."""
+    """Run the checks with some tags, or all checks without tags."""
     messages: list[CheckMessage] = []
     for entry in registered:
         if not tags or entry.tag in tags:
