--- a/burdocksill/exceptions.py
+++ b/burdocksill/exceptions.py
@@ -8,17 +8,17 @@
 
 
 class BurdocksillError(Exception):
-    """Carry a stable code, what was wrong and how to cure it."""
+    """Base error with a stable code, a message and a hint."""
 
     code: ClassVar[str] = 'burdocksill.E000'
 
     def __init__(self, *, message: str, hint: str = '') -> None:
-        """Store the message and the cure."""
+        """Store the message and the hint."""
         super().__init__(message)
         self.message = message
         self.hint = hint
 
     def __str__(self) -> str:
-        """Name the code, the fault and the cure on one line."""
-        cure = f' ({self.hint})' if self.hint else ''
-        return f'{self.code}: {self.message}{cure}'
+        """Return the code, the message and the hint on one line."""
+        suffix = f' ({self.hint})' if self.hint else ''
+        return f'{self.code}: {self.message}{suffix}'
--- a/burdocksill/values.py
+++ b/burdocksill/values.py
@@ -1,4 +1,4 @@
-"""Base of data that is compared by its fields."""
+"""Base class of value objects."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 
 class Value:
-    """Compare, show and copy data by the fields that `__slots__` names.
+    """Value object that is compared by the fields in `__slots__`.
 
-    What a node needs before its first packet is plain classes: attrs writes
-    and compiles methods for each class at every start, which takes longer
-    there than all other imports together.
+    Used instead of attrs where a node needs it before its first packet: attrs
+    generates and compiles methods for each class at every start, which takes
+    longer than all other imports together.
     """
 
     __slots__: tuple[str, ...] = ()
 
     def __eq__(self, other: object) -> bool:
-        """Return True for the same type with the same fields."""
+        """Return True for the same type with equal fields."""
         return isinstance(other, type(self)) and all(
             getattr(self, name) == getattr(other, name)
             for name in self.__slots__
         )
 
     def __hash__(self) -> int:
-        """Return a number that is the same for equal data."""
+        """Return the hash of the fields."""
         return hash(tuple(getattr(self, name) for name in self.__slots__))
 
     def __repr__(self) -> str:
-        """Write the type and its fields."""
+        """Return the type name with its fields."""
         fields = ', '.join(
             f'{name}={getattr(self, name)!r}' for name in self.__slots__
         )
@@ -37,5 +37,5 @@
 
     def evolve(self, **fields: Any) -> Self:
         """Return a copy with other fields."""
-        kept = {name: getattr(self, name) for name in self.__slots__}
-        return type(self)(**(kept | fields))
+        fields_before = {name: getattr(self, name) for name in self.__slots__}
+        return type(self)(**(fields_before | fields))
