--- a/tests/packets/explaining.feature
+++ b/tests/packets/explaining.feature
@@ -1,23 +1,23 @@
-Feature: From a failed request to its cause, with logs alone
-  The three stories of the operators' page, played with real nodes: a flow that
-  the client names leads to lines that say what became of it and why.
+Feature: Finding the cause of a failed request in the logs
+  The three examples of the operators' page, run with real nodes: the log lines
+  of the flow that a client reports show what happened to it and why.
 
-  Scenario: A connection that was reset
-    When flows are served while an upstream falls silent
+  Scenario: A flow that was reset because its upstream failed
+    When flows are served while an upstream stops answering
     Then the log of each flow that was reset says "opened" on that upstream
-    And then "upstream-dark" with what decided
+    And then "upstream-dark" with the values behind the decision
 
-  Scenario: An opening that was refused at once
-    When flows are served while some go to a port without a route
+  Scenario: An opening that was refused without delay
+    When flows are served while some use a port without a route
     Then the log of each flow that was reset says "no-route"
-    And the same node's log says which manifest it went by
+    And the same node's log says which manifest was in force
 
-  Scenario: Two plays on one machine
-    Guards against a play that ends for an address that another play holds.
-    When two plays without trouble run at once
+  Scenario: Two simulations on one machine
+    Guards against a simulation that fails because another one uses its address.
+    When two simulations without faults run at the same time
     Then both served every request
 
-  Scenario: A request that ran into its deadline
+  Scenario: A request that exceeded its deadline
     When flows are served while a node is killed
     Then the log of each flow that failed says "opened" and nothing after it
-    And one node's log ends without "stopping", and it is the one that was killed
+    And one node's log ends without "stopping", which is that of the killed node
