--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -1,4 +1,4 @@
-"""Steps that play clients, upstreams and nodes of the packet path."""
+"""Steps that simulate clients, upstreams and nodes of the packet path."""
 
 import json
 from collections import Counter
@@ -18,12 +18,12 @@
 from burdocksill_lab.packets.upstream import Condition, LabUpstream
 from burdocksill_lab.packets.world import ROUTE_PORT, LabNode, PacketWorld
 
-# Longer than any deadline of a client.
+# Longer than the deadline of any client.
 SETTLE_SECONDS = 1.5
 
 
 def world_of(context: Context) -> PacketWorld:
-    """Return the scenario's world, made when it is first asked for."""
+    """Return the scenario's world; create it at the first call."""
     if not hasattr(context, 'packets'):
         world = PacketWorld(seed=context.seed)
         world.put_manifest(5, {ROUTE_PORT: 'ledger'})
@@ -54,7 +54,7 @@
     port: int = ROUTE_PORT,
     gap: float = 0.0,
 ) -> None:
-    """Send a first request on new flows."""
+    """Open flows and send a request on each, `gap` seconds apart."""
     world = world_of(context)
     context.fresh = [world.open_flow(domain, port) for _ in range(count)]
     for flow in context.fresh:
@@ -63,7 +63,7 @@
 
 
 def on_marked(context: Context) -> list[ClientFlow]:
-    """Return the open flows on the upstream that the scenario speaks of."""
+    """Return the open flows on the scenario's selected upstream."""
     return [
         flow
         for flow in context.flows
@@ -72,7 +72,7 @@
 
 
 def mark(context: Context, upstream: LabUpstream) -> None:
-    """Speak of one upstream from here on."""
+    """Select the upstream that the next steps refer to."""
     context.marked = upstream
     context.since = world_of(context).timeline.now
 
@@ -100,7 +100,7 @@
 @given('a domain "{domain}" with {nodes:d} node and no upstreams')
 @given('a domain "{domain}" with {nodes:d} nodes and no upstreams')
 def make_empty_domain(context: Context, domain: str, nodes: int) -> None:
-    """Start nodes alone."""
+    """Start nodes without upstreams."""
     make_domain(context, domain, nodes, 0)
 
 
@@ -109,7 +109,7 @@
     'that works {work:f} seconds',
 )
 def make_slow_domain(context: Context, domain: str, work: float) -> None:
-    """Start an upstream that takes long for each request."""
+    """Start an upstream that takes some seconds for each request."""
     world = world_of(context)
     world.add_upstream(domain, work_seconds=work, slots=8)
     world.add_node(domain)
@@ -123,7 +123,7 @@
 
 @given('two upstreams in "{domain}" whose names end alike')
 def make_colliding(context: Context, domain: str) -> None:
-    """Start two upstreams that agree in 32 bits."""
+    """Start two upstreams with the same echo (the low 32 bits of the tag)."""
     world = world_of(context)
     world.fresh_names = iter(('i-1100000007', 'i-2200000007'))
     context.twins = [world.add_upstream(domain) for _ in range(2)]
@@ -131,7 +131,7 @@
 
 @given('a cold upstream in "{domain}" that bears {count:d} flows a second')
 def make_cold(context: Context, domain: str, count: int) -> None:
-    """Start an upstream that reports that it is cold."""
+    """Start an upstream that reports a warm-up time."""
     world = world_of(context)
     world.put_manifest(6, {ROUTE_PORT: 'ledger'}, cold_per_second=count)
     upstream = world.add_upstream(domain)
@@ -151,7 +151,7 @@
     w1: int,
     w2: int,
 ) -> None:
-    """Write a manifest whose route has two services."""
+    """Write a manifest with a traffic split over two services."""
     world = world_of(context)
     world.put_manifest(6, {port: one})
     manifest = json.loads(world.store[MANIFEST])
@@ -167,7 +167,7 @@
 
 @given('{count:d} open flows in "{domain}"')
 def make_flows(context: Context, count: int, domain: str) -> None:
-    """Open flows; each has had a few answers."""
+    """Open flows and send a few requests on each."""
     world = world_of(context)
     open_flows(context, count, domain)
     world.run(SETTLE_SECONDS)
@@ -199,7 +199,7 @@
     'every flow sends a request, every {gap:f} seconds for {seconds:f} seconds'
 )
 def all_send_again(context: Context, gap: float, seconds: float) -> None:
-    """Send on each flow that waits for nothing, again and again."""
+    """Send periodically on each flow without a request in progress."""
     for _ in range(round(seconds / gap)):
         all_send(context)
         world_of(context).run(gap)
@@ -221,7 +221,7 @@
 
 @when('version {version:d} with no route for port 8080 arrives late')
 def put_late(context: Context, version: int) -> None:
-    """Hand an older manifest to the nodes."""
+    """Deliver an older manifest to the nodes."""
     world = world_of(context)
     text = json.loads(world.store[MANIFEST])
     text['Version'] = version
@@ -239,22 +239,25 @@
 
 
 @when('the manifest {text} is written')
-def put_rubbish(context: Context, text: str) -> None:
-    """Write a manifest that can't be read."""
+def put_invalid_manifest(context: Context, text: str) -> None:
+    """Write an invalid manifest."""
     world_of(context).put(MANIFEST, text.encode())
 
 
 @when('operators take "{domain}" out')
 def take_out(context: Context, domain: str) -> None:
-    """Take a failure domain out."""
+    """Take a failure domain out of service."""
     world = world_of(context)
     world.take_out(domain)
     context.since = world.timeline.now
 
 
-@when('the node of "{domain}" misses "{out}" put back and reads everything')
+@when(
+    'the node of "{domain}" misses that "{out}" is put back '
+    'and does a full read',
+)
 def miss_and_read(context: Context, domain: str, out: str) -> None:
-    """Remove the order while the node hears nothing."""
+    """Put the domain back while the node receives no changes."""
     world = world_of(context)
     node = node_of(context, domain)
     node.follows = False
@@ -264,9 +267,9 @@
     world.read_whole(node)
 
 
-@when('the node of "{domain}" is cut off from the store')
-def cut_from_store(context: Context, domain: str) -> None:
-    """Let a node hear no changes."""
+@when('the node of "{domain}" is partitioned from the store')
+def partition_from_store(context: Context, domain: str) -> None:
+    """Stop the changes of the store to a node, and fail its calls."""
     node = node_of(context, domain)
     node.follows = False
     node.core.updater.mark_store_unavailable()
@@ -274,7 +277,7 @@
 
 @when('the node of "{domain}" is started anew')
 def restart_node(context: Context, domain: str) -> None:
-    """Replace a node by one that knows only what the store says now."""
+    """Replace a node by one that has only read the current store."""
     world = world_of(context)
     old = node_of(context, domain)
     old.alive = False
@@ -284,20 +287,20 @@
 
 @when('a node of "{domain}" loses power')
 def lose_node(context: Context, domain: str) -> None:
-    """Take a node away; routers turn to the others."""
+    """Kill a node; routers use the others."""
     node_of(context, domain).alive = False
 
 
 @when('an upstream falls silent')
 def fall_silent(context: Context) -> None:
-    """Let the upstream with the most flows lose power."""
+    """Make the upstream with the most flows unresponsive."""
     mark(context, busiest(context))
     context.marked.condition = Condition.DARK
 
 
 @when('all upstreams fall silent and their entries are removed')
 def all_gone(context: Context) -> None:
-    """Let every upstream leave for good."""
+    """Make all upstreams unresponsive and remove their entries."""
     world = world_of(context)
     for upstream in world.upstreams.values():
         upstream.condition = Condition.DARK
@@ -306,20 +309,20 @@
 
 @when('its entry is removed')
 def remove_entry(context: Context) -> None:
-    """Remove the entry of the upstream that fell silent."""
+    """Remove the entry of the selected upstream."""
     world_of(context).deregister(context.marked)
 
 
 @when('its entry is removed for one upstream')
 def remove_one_entry(context: Context) -> None:
-    """Remove the entry of an upstream that lives."""
+    """Remove the entry of a healthy upstream."""
     mark(context, busiest(context))
     world_of(context).deregister(context.marked)
 
 
 @when('all entries lapse')
 def lapse(context: Context) -> None:
-    """Empty the list, as nodes find it when the store is back."""
+    """Remove all entries, as after an outage of the store."""
     world = world_of(context)
     for node in world.nodes:
         node.core.updater.mark_store_unavailable()
@@ -331,7 +334,7 @@
 
 @when('all entries are written again')
 def write_again(context: Context) -> None:
-    """Let every upstream register."""
+    """Register every upstream again."""
     world = world_of(context)
     for upstream in world.upstreams.values():
         world.register(upstream)
@@ -339,14 +342,14 @@
 
 @when('an upstream drains')
 def drain(context: Context) -> None:
-    """Let an upstream say that it leaves."""
+    """Set the state of an upstream to draining."""
     mark(context, busiest(context))
     world_of(context).register(context.marked, 'draining')
 
 
 @when('it starts again under its name')
 def start_again(context: Context) -> None:
-    """Start a new process with the name of the old one."""
+    """Start a new process under the name of the old one."""
     world = world_of(context)
     upstream = context.marked
     upstream.restart()
@@ -357,20 +360,20 @@
 
 @when('somebody writes the entry {entry}')
 def write_entry(context: Context, entry: str) -> None:
-    """Write an entry that names nothing usable."""
+    """Write an invalid entry."""
     world_of(context).put(f'{UPSTREAMS}i-00000000ff', entry.encode())
 
 
 @when('the entry of one upstream is overwritten with rubbish')
 def overwrite(context: Context) -> None:
-    """Overwrite an entry."""
+    """Overwrite the entry of an upstream with invalid bytes."""
     mark(context, busiest(context))
     world_of(context).put(UPSTREAMS + context.marked.name, b'\xff\x00')
 
 
 @when('the answers to one client are lost')
 def cut_client(context: Context) -> None:
-    """Let one flow get nothing any more."""
+    """Drop all packets to one client."""
     flow = context.flows[0]
     context.cut = flow
     del world_of(context).clients[flow.key]
@@ -378,13 +381,13 @@
 
 @when('that client sends a request')
 def cut_client_sends(context: Context) -> None:
-    """Send on the flow that gets no answers."""
+    """Send a request on the flow that gets no answers."""
     context.cut.request()
 
 
 @when('every flow sends a request')
 def all_send(context: Context) -> None:
-    """Send on each open flow."""
+    """Send a request on each open flow."""
     for flow in [*context.flows, *context.fresh]:
         if flow.waiting is None:
             flow.request()
@@ -394,7 +397,7 @@
 @when('{count:d} flows on it send a request')
 @when('{count:d} flow on it sends a request')
 def some_send(context: Context, count: int) -> None:
-    """Send on a few flows of the upstream that is spoken of."""
+    """Send on a few flows of the selected upstream."""
     flows = on_marked(context)
     assert len(flows) > count, len(flows)
     for flow in flows[:count]:
@@ -404,7 +407,7 @@
 
 @when('{count:d} new flows in "{domain}" send a request')
 def new_flows(context: Context, count: int, domain: str) -> None:
-    """Open flows by a request each."""
+    """Open flows with a request each."""
     open_flows(context, count, domain, gap=0.01)
 
 
@@ -412,7 +415,7 @@
     '{count:d} new flows in "{domain}" send a request, one each {gap:f} seconds'
 )
 def paced_flows(context: Context, count: int, domain: str, gap: float) -> None:
-    """Open flows at a pace."""
+    """Open flows at a fixed interval."""
     open_flows(context, count, domain, gap=gap)
 
 
@@ -431,7 +434,7 @@
 
 @then('every request is served')
 def check_all_served(context: Context) -> None:
-    """Look at each request of each flow."""
+    """Check the outcome of each request."""
     world_of(context).run(SETTLE_SECONDS)
     outcomes = Counter(
         request.outcome
@@ -444,7 +447,7 @@
 @then('every new request is served within {limit:f} seconds')
 @then('every new request is served within {limit:d} seconds')
 def check_new_served(context: Context, limit: float) -> None:
-    """Look at the requests of the flows that were opened last."""
+    """Check the outcome and duration of the requests on new flows."""
     world_of(context).run(SETTLE_SECONDS)
     for flow in context.fresh:
         request = flow.requests[0]
@@ -455,7 +458,7 @@
 
 @then('the last {count:d} requests are served')
 def check_last_served(context: Context, count: int) -> None:
-    """Look at the flows that were opened last."""
+    """Check the outcomes on the new flows."""
     world_of(context).run(SETTLE_SECONDS)
     found = [flow.requests[0].outcome for flow in context.fresh]
     assert found == [Outcome.SERVED] * count, found
@@ -463,7 +466,7 @@
 
 @then('all flows on it were ended by a node')
 def check_marked_reset(context: Context) -> None:
-    """Look for the resets of one upstream's flows."""
+    """Check that all flows of the selected upstream were reset."""
     flows = on_marked(context)
     assert flows
     kept = [flow.key for flow in flows if not flow.system_reset]
@@ -472,7 +475,7 @@
 
 @then('no flow on another upstream was ended')
 def check_others_open(context: Context) -> None:
-    """Look for resets where nothing is wrong."""
+    """Check that no flow of a healthy upstream was reset."""
     marked = on_marked(context)
     others = [flow for flow in context.flows if flow not in marked]
     assert others
@@ -481,34 +484,34 @@
 
 @then('no flow was ended by a node')
 def check_none_reset(context: Context) -> None:
-    """Look for any reset."""
+    """Check that no flow was reset."""
     flows = [*context.flows, *context.fresh]
     assert not [flow.key for flow in flows if flow.system_reset]
 
 
 @then('every flow was ended by a node')
 def check_all_reset(context: Context) -> None:
-    """Look for a reset of each open flow."""
+    """Check that each open flow was reset."""
     assert all(flow.system_reset for flow in context.flows)
 
 
 @then('every new flow was ended by a node')
 def check_fresh_reset(context: Context) -> None:
-    """Look for a reset of each flow that was opened last."""
+    """Check that each new flow was reset."""
     assert all(flow.system_reset for flow in context.fresh)
 
 
 @then('the draining upstream got no opening since')
 @then('that upstream got no opening since')
 def check_no_opening(context: Context) -> None:
-    """Look at the openings of the upstream that is spoken of."""
+    """Check the times of the selected upstream's openings."""
     late = [at for at in context.marked.opened if at > context.since]
     assert not late, late
 
 
 @then('upstreams of "{domain}" got no opening since')
 def check_domain_since(context: Context, domain: str) -> None:
-    """Look at the openings of a domain."""
+    """Check the times of the openings in a domain."""
     for upstream in upstreams_of(context, domain):
         late = [at for at in upstream.opened if at > context.since]
         assert not late, (upstream.name, late)
@@ -516,13 +519,13 @@
 
 @then('upstreams of "{domain}" got no opening')
 def check_domain_unused(context: Context, domain: str) -> None:
-    """Look for any opening in a domain."""
+    """Check that no upstream of a domain got an opening."""
     assert not any(one.opened for one in upstreams_of(context, domain))
 
 
 @then('upstreams of "{domain}" got at least {count:d} openings')
 def check_domain_used(context: Context, domain: str, count: int) -> None:
-    """Count the openings of a domain."""
+    """Count the openings in a domain."""
     got = sum(len(one.opened) for one in upstreams_of(context, domain))
     assert got >= count, got
 
@@ -531,7 +534,7 @@
     'no upstream of "{domain}" has over {factor:f} times the mean of openings'
 )
 def check_even(context: Context, domain: str, factor: float) -> None:
-    """Compare the busiest upstream with the mean."""
+    """Compare the most openings of an upstream with the mean."""
     world_of(context).run(SETTLE_SECONDS)
     counts = [len(one.opened) for one in upstreams_of(context, domain)]
     assert max(counts) <= factor * sum(counts) / len(counts), counts
@@ -539,7 +542,7 @@
 
 @then('it got at most {count:d} openings in any second')
 def check_cold(context: Context, count: int) -> None:
-    """Slide a second over the openings."""
+    """Count the openings in each window of a second."""
     world_of(context).run(SETTLE_SECONDS)
     opened = context.marked.opened
     most = max(
@@ -550,7 +553,7 @@
 
 @then('it got at least {count:d} openings in all')
 def check_cold_used(context: Context, count: int) -> None:
-    """Count the openings: a limit must not starve it either."""
+    """Count the openings: the limit must not block all of them."""
     got = len(context.marked.opened)
     assert got >= count, got
 
@@ -577,13 +580,13 @@
 
 @then('one of the two took no flow')
 def check_twins(context: Context) -> None:
-    """Look at the two upstreams with one echo."""
+    """Check the two upstreams with the same echo."""
     assert sorted(bool(one.opened) for one in context.twins) == [False, True]
 
 
 @when('the upstream with the fewest flows refuses all openings')
 def refuse_openings(context: Context) -> None:
-    """Let a process crash, with its host left to answer."""
+    """Crash a process whose host still refuses connections."""
     world = world_of(context)
     upstream = min(world.upstreams.values(), key=lambda one: len(one.flows))
     # Ended flows make it the least loaded, as after a crash.
@@ -604,7 +607,7 @@
     'when refused',
 )
 def try_again(context: Context, count: int, domain: str) -> None:
-    """Open flows one after the other, again from a new port if refused."""
+    """Open flows in turn, with up to two retries from a new port."""
     world = world_of(context)
     context.fresh = []
     for _ in range(count):
@@ -619,14 +622,14 @@
 
 @then('each of them is served')
 def check_each_served(context: Context) -> None:
-    """Look at the last try of each client."""
+    """Check the last attempt of each client."""
     found = Counter(flow.requests[0].outcome for flow in context.fresh)
     assert set(found) == {Outcome.SERVED}, found
 
 
 @then('the refusing upstream got at most {count:d} openings')
 def check_refusing(context: Context, count: int) -> None:
-    """Count the openings in vain."""
+    """Count the openings sent to the refusing upstream."""
     got = len(context.marked.opened)
     assert got <= count, got
 
@@ -636,7 +639,7 @@
     'and the network doubles each packet',
 )
 def doubled_flows(context: Context, count: int, domain: str) -> None:
-    """Open flows whose packets reach the node twice."""
+    """Open flows whose packets are duplicated by the network."""
     world = world_of(context)
     context.fresh = [world.open_flow(domain) for _ in range(count)]
     for flow in context.fresh:
@@ -657,7 +660,7 @@
 
 @when('the node of "{domain}" loses touch with the store for a moment')
 def mark_store_unavailable(context: Context, domain: str) -> None:
-    """Let a watch fail, and the next one tell of a change."""
+    """Fail a call to the store, and deliver a change after it."""
     world = world_of(context)
     node_of(context, domain).core.updater.mark_store_unavailable()
     world.register(next(iter(world.upstreams.values())))
@@ -665,7 +668,7 @@
 
 @when('{count:d} flows on it send a request, one each {gap:f} seconds')
 def some_send_paced(context: Context, count: int, gap: float) -> None:
-    """Send on a few flows of the upstream that is spoken of, spread out."""
+    """Send on a few flows of the selected upstream, at an interval."""
     context.spread = on_marked(context)[:count]
     for flow in context.spread:
         flow.request()
@@ -674,27 +677,27 @@
 
 @then('these {count:d} were ended by a node')
 def check_spread(context: Context, count: int) -> None:
-    """Look at the flows that sent."""
+    """Check that these flows were reset."""
     ended = [flow for flow in context.spread if flow.system_reset]
     assert len(ended) == count, len(ended)
 
 
 @when('the node of "{domain}" stands still')
 def stand_still(context: Context, domain: str) -> None:
-    """Let a node handle nothing for now."""
+    """Pause a node."""
     context.still = node_of(context, domain)
     context.still.stands = True
 
 
 @when('it goes on')
 def go_on(context: Context) -> None:
-    """Let it handle what has come in."""
+    """Resume the node with the packets that have arrived."""
     context.still.go_on()
 
 
 @then('no upstream is put aside')
 def check_none_aside(context: Context) -> None:
-    """Look at what the nodes think of the upstreams."""
+    """Check that no node has ejected an upstream."""
     world = world_of(context)
     world.timeline.run(0.01)
     for node in world.nodes:
