--- a/tests/steps/packets_start.py
+++ b/tests/steps/packets_start.py
@@ -1,4 +1,4 @@
-"""Steps about the process of a node."""
+"""Steps about the start, reload and stop of a node's process."""
 
 import os
 import resource
@@ -36,15 +36,15 @@
 TICKS = os.sysconf('SC_CLK_TCK')
 PAGE_BYTES = os.sysconf('SC_PAGE_SIZE')
 LOADED = 'program loaded'
-# Starts of which the median counts.
+# Number of starts whose median is compared.
 MEASURED = 5
-# A line is looked for at most this long.
+# Longest time to wait for a log line.
 LINE_SECONDS = 10.0
 Work = Callable[[LoopbackDay], Awaitable[None]]
 
 
-def play(context: Context, work: Work) -> LoopbackDay:
-    """Play a day on loopback around some work."""
+def run_deployment(context: Context, work: Work) -> LoopbackDay:
+    """Run a deployment on loopback and some work in it."""
     nodes, upstreams, flows = context.sizes
     folder = Path(tempfile.mkdtemp())
 
@@ -69,7 +69,7 @@
 
 
 async def find_line(node: NodeProcess, *texts: str) -> str:
-    """Wait for a log line that holds some texts."""
+    """Wait for a log line with some texts; return it, '' if there is none."""
     for _ in range(round(LINE_SECONDS / 0.05)):
         for line in node.log_path.read_text().splitlines():
             if all(text in line for text in texts):
@@ -79,22 +79,22 @@
 
 
 @given(
-    'a day on loopback with {nodes:d} node, '
+    'a deployment on loopback with {nodes:d} node, '
     '{upstreams:d} upstreams and {flows:d} flows',
 )
 @given(
-    'a day on loopback with {nodes:d} nodes, '
+    'a deployment on loopback with {nodes:d} nodes, '
     '{upstreams:d} upstreams and {flows:d} flows',
 )
 def prepare(context: Context, nodes: int, upstreams: int, flows: int) -> None:
-    """Remember the sizes of the day; it is played by the next steps."""
+    """Store the sizes of the deployment; later steps run it."""
     context.sizes = (nodes, upstreams, flows)
     context.wanted = []
 
 
 @when('every node is stopped by SIGTERM and started again during requests')
-def roll(context: Context) -> None:
-    """Send requests while all nodes are replaced."""
+def restart_all(context: Context) -> None:
+    """Send requests during a rolling restart of all nodes."""
 
     async def work(day: LoopbackDay) -> None:
         done = trio.Event()
@@ -108,12 +108,12 @@
             await day.request_all(1, 0.5)
         await trio.sleep(1.2)
 
-    play(context, work)
+    run_deployment(context, work)
 
 
-@when('the store falls silent for {seconds:d} seconds during requests')
+@when('the store does not answer for {seconds:d} seconds during requests')
 def silence_store(context: Context, seconds: int) -> None:
-    """Send requests while the store hangs."""
+    """Send requests while the store does not answer."""
 
     async def work(day: LoopbackDay) -> None:
         await day.request_all(1, 0.2)
@@ -123,7 +123,7 @@
         await day.request_all(1, 0.2)
         await trio.sleep(1.2)
 
-    play(context, work)
+    run_deployment(context, work)
 
 
 @then('all requests on loopback were served')
@@ -136,25 +136,25 @@
 
 @when('the node\'s file gets "{line}" and it gets SIGHUP')
 def change_and_hup(context: Context, line: str) -> None:
-    """Remember a change with a signal."""
+    """Store a change to make with a signal."""
     context.wanted.append((line, True))
 
 
 @when('the node\'s file gets "{line}" without a signal')
 def change_quietly(context: Context, line: str) -> None:
-    """Remember a change without one."""
+    """Store a change to make without a signal."""
     context.wanted.append((line, False))
 
 
 @when("the node's file loses all lines")
 def empty_file(context: Context) -> None:
-    """Remember to empty the file."""
+    """Store that the file is to be emptied."""
     context.wanted.append(('', False))
 
 
 @then('the node logs "{message}" with "{text}"')
 def check_line(context: Context, message: str, text: str) -> None:
-    """Play the changes so far, and look for the line."""
+    """Run a deployment, make the stored changes and wait for the line."""
 
     async def work(day: LoopbackDay) -> None:
         node = day.nodes[0]
@@ -167,19 +167,19 @@
                 node.signal(signal.SIGHUP)
         context.line = await find_line(node, message, text)
 
-    play(context, work)
+    run_deployment(context, work)
     assert context.line, f'no line with {message!r} and {text!r}'
 
 
 @then('the node still runs')
 def check_runs(context: Context) -> None:
-    """Look at the process as it was at the end of the last day."""
+    """Check that the process was running at the end."""
     assert context.runs
 
 
 @given('a settings file with {line} instead of its line')
-def spoil(context: Context, line: str) -> None:
-    """Write a settings file with one wrong line."""
+def write_invalid_settings(context: Context, line: str) -> None:
+    """Write a settings file with one invalid line."""
     folder = Path(tempfile.mkdtemp())
     node = NodeProcess(
         host='127.11.0.1',
@@ -197,8 +197,8 @@
 
 
 @when('a node is started with it')
-def start_spoiled(context: Context) -> None:
-    """Run a node to its end."""
+def start_with_file(context: Context) -> None:
+    """Run a node until it exits."""
     context.ended = subprocess.run(
         [sys.executable, '-m', 'burdocksill.packets'],
         env={**os.environ, VARIABLE: str(context.file)},
@@ -211,14 +211,14 @@
 
 @then('it ends with {code:d} and says "{text}"')
 def check_ended(context: Context, code: int, text: str) -> None:
-    """Look at the exit code and the error."""
+    """Check the exit code and the error output."""
     assert context.ended.returncode == code, context.ended
     assert text in context.ended.stderr, context.ended.stderr
 
 
 @when('a node is started {count:d} times to be measured')
 def measure_starts(context: Context, count: int) -> None:
-    """Start a node again and again and read what it has used."""
+    """Start a node repeatedly and record its processor time and memory."""
     context.starts = []
     context.imports = []
 
@@ -230,14 +230,14 @@
             node.log_path.write_text('')
             node.start()
             await find_line(node, LOADED)
-            context.starts.append(used(node.process.pid))
-            context.imports.append(spent_on('import trio'))
+            context.starts.append(resource_usage(node.process.pid))
+            context.imports.append(processor_seconds('import trio'))
 
-    play(context, work)
+    run_deployment(context, work)
 
 
-def spent_on(code: str) -> float:
-    """Return the processor seconds of a process that runs some code."""
+def processor_seconds(code: str) -> float:
+    """Return the processor time of a Python process that runs some code."""
     before = resource.getrusage(resource.RUSAGE_CHILDREN)
     subprocess.run([sys.executable, '-c', code], check=True)
     after = resource.getrusage(resource.RUSAGE_CHILDREN)
@@ -245,8 +245,8 @@
     return user + after.ru_stime - before.ru_stime
 
 
-def used(pid: int) -> tuple[float, float]:
-    """Return a process's processor seconds and its megabytes."""
+def resource_usage(pid: int) -> tuple[float, float]:
+    """Return the processor seconds and megabytes of a process."""
     stat = Path(f'/proc/{pid}/stat').read_text().rpartition(')')[2].split()
     pages = int(Path(f'/proc/{pid}/statm').read_text().split()[1])
     seconds = (int(stat[11]) + int(stat[12])) / TICKS
@@ -258,7 +258,7 @@
     'where trio takes {usual:f} seconds'
 )
 def check_start(context: Context, limit: float, usual: float) -> None:
-    """Look at the least time, by the speed that the machine has now."""
+    """Compare the least time, scaled by the speed of the machine."""
     best = min(seconds for seconds, _ in context.starts)
     speed = max(1, min(context.imports) / usual)
     assert best <= limit * speed, (context.starts, context.imports)
@@ -266,26 +266,26 @@
 
 @then('it holds at most {limit:d} MB')
 def check_memory(context: Context, limit: int) -> None:
-    """Look at the largest size."""
+    """Compare the largest size."""
     assert max(size for _, size in context.starts) <= limit, context.starts
 
 
 @when('starts are measured up to their first packet')
 def measure_first_packets(context: Context) -> None:
-    """Start nodes beside bare interpreters."""
+    """Measure starts of nodes and of interpreters without a program."""
     context.start_seconds, context.interpreter_seconds = measure(ROOT, MEASURED)
 
 
-@then('they take at most {most:d} times a bare interpreter')
+@then('they take at most {most:d} times an interpreter without a program')
 def check_first_packets(context: Context, most: int) -> None:
     """Compare the medians."""
     times = context.start_seconds / context.interpreter_seconds
     assert times <= most, (context.start_seconds, context.interpreter_seconds)
 
 
-@given('what decides about packets, and a packet that waits')
+@given('a packet path with a waiting packet')
 def prepare_core(context: Context) -> None:
-    """Make a node of the small world whose socket holds an opening."""
+    """Create a simulated node with an opening in its socket."""
     world = PacketWorld(seed=context.seed)
     world.put_manifest(1, {8443: 'ledger'})
     world.add_upstream('a')
@@ -300,7 +300,7 @@
 
 @when('a module is imported while serving')
 def import_module(context: Context) -> None:
-    """Import a module that nothing here has imported."""
+    """Import a module that nothing else has imported."""
     context.finders = list(sys.meta_path)
     import_while_serving('colorsys', context.core)
     sys.modules.pop('colorsys', None)
@@ -309,23 +309,23 @@
 
 @then('the packet was forwarded during the import')
 def check_forwarded(context: Context) -> None:
-    """Look at the counters."""
+    """Compare the counter."""
     assert context.core.counts['opened'] == 1, context.core.counts
 
 
-@then('no finder of modules is left behind')
+@then('the meta path finder was removed')
 def check_finders(context: Context) -> None:
-    """Compare the finders with those of before."""
+    """Compare the finders with those before the import."""
     assert sys.meta_path == context.finders
 
 
-@when('the decisions are imported in a new process')
-def import_decisions(context: Context) -> None:
-    """List the modules that the first step of a start imports."""
+@when('the packet path is imported in a new process')
+def import_packet_path(context: Context) -> None:
+    """List the modules that are imported before the first packet."""
     done = subprocess.run(
         [
             sys.executable,
-            # As a node is started: without the site's packages.
+            # Without the site module, as a node is started.
             '-S',
             '-c',
             'import sys, burdocksill.packets.main; print(*sys.modules)',
@@ -340,7 +340,7 @@
 
 @then('none of {names} was imported')
 def check_modules(context: Context, names: str) -> None:
-    """Look for the larger libraries."""
+    """Check that none of the libraries was imported."""
     wanted = {name.strip(' "') for name in names.split(',')}
     assert not wanted & context.modules, wanted & context.modules
 
@@ -357,7 +357,7 @@
             network=SocketNetwork(),
             remote=Address(node.host, node.port),
         )
-        # A node offers itself as reader within a second of its start.
+        # A node campaigns to be the reader within a second of its start.
         for _ in range(round(LINE_SECONDS / 0.5)):
             reply = await connection.exchange(
                 'GET',
@@ -369,12 +369,12 @@
                 break
             await trio.sleep(0.5)
 
-    play(context, work)
+    run_deployment(context, work)
 
 
 @then('they hold "{text}"')
 def check_metrics(context: Context, text: str) -> None:
-    """Look for a line."""
+    """Check that the page has a line."""
     assert text in context.page.splitlines(), context.page
 
 
@@ -383,7 +383,7 @@
     'for {seconds:d} seconds',
 )
 def open_unknown(context: Context, gap: float, seconds: int) -> None:
-    """Open flows that no route leads anywhere."""
+    """Open flows to a port without a route."""
 
     async def work(day: LoopbackDay) -> None:
         for _ in range(round(seconds / gap)):
@@ -391,12 +391,12 @@
             day.flows[-1].request()
             await trio.sleep(gap)
 
-    play(context, work)
+    run_deployment(context, work)
 
 
-@then('each was refused within {limit:f} seconds')
+@then('each was reset within {limit:f} seconds')
 def check_refused(context: Context, limit: float) -> None:
-    """Look at how the flows to the unknown port ended."""
+    """Check the outcome and duration of each request."""
     for flow in context.day.flows:
         for request in flow.requests:
             took = request.ended_at - request.sent_at
@@ -406,7 +406,7 @@
 
 @given('a settings file with both addresses')
 def write_settings(context: Context) -> None:
-    """Write a settings file that can be read."""
+    """Write a valid settings file."""
     node = NodeProcess(
         host='127.11.0.1',
         port=free_port('127.0.0.1'),
@@ -420,7 +420,7 @@
 
 @when('the sockets are bound early in a new process')
 def bind_in_process(context: Context) -> None:
-    """Bind, and print what is bound and imported."""
+    """Bind the sockets, and print the addresses and imported modules."""
     code = (
         'import sys\n'
         'from burdocksill.platform.early import bind_early\n'
@@ -450,21 +450,21 @@
 
 @then('SIGHUP no longer ends the process')
 def check_hup(context: Context) -> None:
-    """Look at the signal's handler."""
+    """Check the handler of the signal."""
     assert context.ignores_hup
 
 
-@when('another process holds the address for packets')
+@when('another process has bound the address for packets')
 def hold_address(context: Context) -> None:
-    """Bind the address here."""
+    """Bind the address in this process."""
     context.held = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     context.held.bind(context.place)
     context.add_cleanup(context.held.close)
 
 
-@given('what decides about packets, and {count:d} packets that wait')
+@given('a packet path with {count:d} waiting packets')
 def prepare_backlog(context: Context, count: int) -> None:
-    """Fill a node's socket."""
+    """Put packets into a node's socket."""
     prepare_core(context)
     inbox = context.core.datagrams.inbox
     inbox.extend([inbox[0]] * (count - 1))
@@ -472,22 +472,22 @@
 
 @when('it drains its socket every {gap:f} seconds')
 def drain_backlog(context: Context, gap: float) -> None:
-    """Drain until nothing waits, and once more."""
+    """Drain in rounds until the socket has been empty."""
     context.behind = []
     for number in range(7):
         context.core.drain(100 + number * gap)
         context.behind.append(context.core.forwarder.flows.is_backlogged)
 
 
-@then('it knows that it is behind after {rounds:d} rounds')
+@then('it detects its backlog in round {rounds:d}')
 def check_behind(context: Context, rounds: int) -> None:
-    """Look at each round."""
+    """Check the first round with a backlog."""
     assert context.behind.index(True) == rounds - 1, context.behind
 
 
-@then('it is not behind once its socket was empty')
+@then('it has no backlog once its socket was empty')
 def check_caught_up(context: Context) -> None:
-    """Look at the last round."""
+    """Check the last round."""
     assert context.behind[-1] is False, context.behind
 
 
@@ -513,23 +513,23 @@
     page: int,
     seconds: float,
 ) -> None:
-    """Let each page take a while."""
+    """Delay each page."""
     make_list(context, count, page)
     context.store.delay_seconds = seconds
 
 
 @given(
-    'a store with {count:d} upstreams in pages of {page:d} that falls silent'
+    'a store with {count:d} upstreams in pages of {page:d} that does not answer'
 )
 def make_silent_list(context: Context, count: int, page: int) -> None:
-    """Let the store answer nothing."""
+    """Make the store unresponsive."""
     make_list(context, count, page)
     context.store.trouble = Trouble.SILENT
 
 
 @when('a node reads it at its start')
 def read_at_start(context: Context) -> None:
-    """Read the store as a process does before its libraries are there."""
+    """Run the initial read of the store."""
     core = PacketWorld(seed=context.seed).add_node('a').core
     core.progress.synced_at = float('-inf')
     core.progress.revision = 0
@@ -563,14 +563,14 @@
 
 @then('it knows {count:d} upstreams after at most {calls:d} calls')
 def check_list(context: Context, count: int, calls: int) -> None:
-    """Count what was learned."""
+    """Count the known upstreams and the calls."""
     known = context.core.updater.upstreams.by_name
     assert len(known) == count, len(known)
     assert len(context.store.calls) <= calls, len(context.store.calls)
 
 
-@then('it goes on without them within {limit:f} seconds')
+@then('it continues without them within {limit:f} seconds')
 def check_goes_on(context: Context, limit: float) -> None:
-    """Look at the time, and that nothing is taken for known."""
+    """Check the time, and that the node is not in sync."""
     assert context.took <= limit, context.took
     assert not context.core.progress.is_synced
