--- a/tests/platform/records.feature
+++ b/tests/platform/records.feature
@@ -1,17 +1,17 @@
-Feature: What stands in the store may be anything
-  Operators' tools, upstreams and strangers write there. Nothing that stands
-  under any key may end a node.
+Feature: Decoding arbitrary values of the store
+  Operators' tools, upstreams and others write to the store. No value of any key
+  may end a node's process.
 
-  Scenario: Random values under every kind of key are news or refused
-    # Fuzzing, by hypothesis with a fixed seed: random bytes, random JSON, and
-    # good entries in which some fields were replaced.
+  Scenario: Random values of every kind of key are decoded or refused
+    # Fuzzing by hypothesis with a fixed seed: random bytes, random JSON, and
+    # valid entries with some fields replaced.
     When 2000 random values are decoded
-    Then each gave news, none, or the error "burdocksill.E107"
+    Then each gave an update, none, or the error "burdocksill.E107"
 
-  Scenario Outline: Values that broke a decoder
-    # Each of them ended a node that read it.
+  Scenario Outline: Values that made a decoder crash
+    # Each of them ended a node's process.
     When <value> is decoded
-    Then each gave news, none, or the error "burdocksill.E107"
+    Then each gave an update, none, or the error "burdocksill.E107"
 
     Examples:
       | value                           |
@@ -20,15 +20,15 @@
       | 100000 brackets                 |
 
   Scenario: A manifest that changes one route decodes one route
-    # Openings were answered late in the second in which a large manifest
-    # changed: a weak machine decoded thousands of routes that had not.
+    # Openings were answered late while a slow machine decoded thousands of
+    # unchanged routes of a large manifest.
     Given a manifest of 1000 routes that was decoded
     When it is decoded again with one route changed, one added and one removed
     Then 2 routes were decoded
     And its routes are those that a new decoder finds
 
-  Scenario: A route that is wrong by its type alone is refused again
-    # Equal values of another type must not pass for a route that was good.
+  Scenario: A cached route does not hide a field of the wrong type
+    # True equals 1, so a cache by value would accept the invalid route.
     Given a manifest of 10 routes that was decoded
-    When it is decoded again with a priority of true for 1
+    When it is decoded again with the priority true instead of 1
     Then it is refused with "burdocksill.E107"
--- a/tests/steps/platform_records.py
+++ b/tests/steps/platform_records.py
@@ -1,4 +1,4 @@
-"""Steps about values of the users' store."""
+"""Steps about decoding values of the store."""
 
 import json
 from collections import Counter
@@ -45,7 +45,7 @@
 
 
 def json_values() -> st.SearchStrategy[Any]:
-    """Draw any JSON value, with numbers and text of odd sizes."""
+    """Return JSON values of any kind, with extreme numbers and texts."""
     leaves = st.one_of(
         st.none(),
         st.booleans(),
@@ -64,8 +64,10 @@
     )
 
 
-def spoilt(good: dict[str, Any]) -> st.SearchStrategy[dict[str, Any]]:
-    """Draw a good object in which some fields were replaced."""
+def with_replaced_fields(
+    good: dict[str, Any],
+) -> st.SearchStrategy[dict[str, Any]]:
+    """Return copies of a valid object with some fields replaced."""
     fields = st.dictionaries(
         st.sampled_from(sorted(good)),
         json_values(),
@@ -75,17 +77,17 @@
 
 
 def values() -> st.SearchStrategy[bytes]:
-    """Draw values of all kinds."""
+    """Return random bytes, JSON values, entries and manifests."""
     manifest = st.builds(
         lambda routes, services: {
             'Version': 3,
             'Routes': routes,
             'Services': services,
         },
-        st.lists(spoilt(ROUTE), max_size=2),
-        st.lists(spoilt(LIMITS), max_size=2),
+        st.lists(with_replaced_fields(ROUTE), max_size=2),
+        st.lists(with_replaced_fields(LIMITS), max_size=2),
     )
-    written = st.one_of(json_values(), spoilt(ENTRY), manifest)
+    written = st.one_of(json_values(), with_replaced_fields(ENTRY), manifest)
     return st.one_of(
         st.binary(max_size=40),
         written.map(lambda found: json.dumps(found).encode()),
@@ -93,14 +95,14 @@
 
 
 def outcome(key: str, value: bytes) -> str:
-    """Decode a value and say what came of it."""
+    """Decode a value and return the outcome as text."""
     try:
         RecordDecoder().decode(StoredValue(key=key, value=value, revision=1))
     except BurdocksillError as error:
         return error.code
     except Exception as error:  # noqa: BLE001
         return f'{type(error).__name__} of {value[:80]!r}'
-    return 'news or none'
+    return 'update or none'
 
 
 @when('{count:d} random values are decoded')
@@ -125,14 +127,14 @@
 
 @when('a limit of 10 to the power 400 is decoded')
 def decode_limit(context: Context) -> None:
-    """Decode a manifest with a limit that no float holds."""
+    """Decode a manifest with a limit too large for a float."""
     text = {'Version': 1, 'Limits': {'IdleTimeoutMs': HUGE}}
     decode_text(context, MANIFEST, json.dumps(text))
 
 
 @when('a weight of 10 to the power 400 is decoded')
 def decode_weight(context: Context) -> None:
-    """Decode a manifest with a weight that no float holds."""
+    """Decode a manifest with a weight too large for a float."""
     split = [{'Service': 'ledger', 'Weight': HUGE}]
     text = {'Version': 1, 'Routes': [{**ROUTE, 'TrafficSplit': split}]}
     decode_text(context, MANIFEST, json.dumps(text))
@@ -140,7 +142,7 @@
 
 @when('100000 brackets is decoded')
 def decode_brackets(context: Context) -> None:
-    """Decode JSON that is nested too deep."""
+    """Decode JSON that is nested too deeply."""
     decode_text(context, KEYS[1], '[' * BRACKETS + ']' * BRACKETS)
 
 
@@ -149,10 +151,10 @@
     context.outcomes = Counter([outcome(key, text.encode())])
 
 
-@then('each gave news, none, or the error "{code}"')
+@then('each gave an update, none, or the error "{code}"')
 def check_outcomes(context: Context, code: str) -> None:
-    """Look for anything else."""
-    others = set(context.outcomes) - {'news or none', code}
+    """Check that there was no other outcome."""
+    others = set(context.outcomes) - {'update or none', code}
     assert not others, others
 
 
@@ -175,7 +177,7 @@
 
 @when('it is decoded again with one route changed, one added and one removed')
 def decode_changed(context: Context) -> None:
-    """Decode the next version and count the routes that are read."""
+    """Decode the next version and count the decoded routes."""
     first, _, *rest = context.routes
     changed = {**first, 'SloMs': 500}
     added = {**ROUTE, 'Name': 'r-added', 'Prefix': '/9999/'}
@@ -198,13 +200,13 @@
 
 @then('its routes are those that a new decoder finds')
 def check_routes(context: Context) -> None:
-    """Compare with a decoding that reuses nothing."""
+    """Compare with the routes of a decoder without cached routes."""
     assert context.found.manifest.routes == context.wanted.manifest.routes
 
 
-@when('it is decoded again with a priority of true for 1')
+@when('it is decoded again with the priority true instead of 1')
 def decode_wrong(context: Context) -> None:
-    """Decode a version with a value of another type."""
+    """Decode a version with a value of the wrong type."""
     first, *rest = context.routes
     stored = manifest_of(2, [{**first, 'Priority': True}, *rest])
     try:
@@ -217,5 +219,5 @@
 
 @then('it is refused with "{code}"')
 def check_refusal(context: Context, code: str) -> None:
-    """Look at the error."""
+    """Compare the error code."""
     assert context.refusal == code, context.refusal
--- a/tests/steps/platform_store.py
+++ b/tests/steps/platform_store.py
@@ -1,4 +1,4 @@
-"""Steps about the client of the users' store."""
+"""Steps about the client of the platform's store."""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -31,7 +31,7 @@
 
 
 def with_store(context: Context, work: Work) -> Any:
-    """Serve the scenario's store while some work is done with a client."""
+    """Serve the scenario's store and run some work with a client."""
 
     async def main() -> Any:
         listeners = await trio.open_tcp_listeners(0, host='127.0.0.1')
@@ -63,7 +63,7 @@
 
 
 @given('a store with the keys "{a}", "{b}", "{c}", "{d}" in pages of {page:d}')
-def make_odd(
+def make_reserved(
     context: Context,
     a: str,
     b: str,
@@ -71,7 +71,7 @@
     d: str,
     page: int,
 ) -> None:
-    """Fill a store with odd keys."""
+    """Fill a store with keys that contain reserved characters."""
     context.store = LabStore(page_items=page)
     for key in (a, b, c, d):
         context.store.put(key, b'{}')
@@ -79,7 +79,7 @@
 
 @given('a value of {size:d} bytes behind a link of {megabits:d} Mbit/s')
 def make_slow(context: Context, size: int, megabits: int) -> None:
-    """Fill a store whose answers take long to arrive."""
+    """Fill a store behind a slow link."""
     context.store = LabStore(bytes_per_second=megabits * MEGABIT_BYTES)
     context.store.put('op/large', bytes(size))
 
@@ -104,20 +104,20 @@
 
 @when('a key is written and another removed')
 def change_store(context: Context) -> None:
-    """Change two keys."""
+    """Write one key and remove another."""
     context.store.put('servers/new', b'{}')
     context.store.remove('servers/i-00000')
 
 
-@when('a key is written and the history dropped')
-def drop_history(context: Context) -> None:
-    """Forget a change."""
+@when('a key is written and the history compacted')
+def compact_history(context: Context) -> None:
+    """Write a key and compact the store."""
     context.store.put('servers/new', b'{}')
     context.store.compact()
 
 
 def next_changes(context: Context) -> Any:
-    """Wait for the changes after the reading."""
+    """Wait for changes after the full read; return them or the error."""
 
     async def work(platform: StoreClient) -> Any:
         after = context.found.revision
@@ -131,7 +131,7 @@
 
 @then('the next changes are one written and one removed key')
 def check_changes(context: Context) -> None:
-    """Look at both changes."""
+    """Compare both changes."""
     found = next_changes(context).values
     shown = [(one.key, one.removed) for one in found]
     assert shown == [('servers/new', False), ('servers/i-00000', True)], shown
@@ -139,7 +139,7 @@
 
 @then('the next changes are none')
 def check_no_changes(context: Context) -> None:
-    """Look for an empty answer."""
+    """Check that the answer has no changes."""
     found = next_changes(context)
     assert not found.values
     assert found.revision == context.found.revision
@@ -147,14 +147,14 @@
 
 @then('the next changes fail with "{code}"')
 def check_changes_fail(context: Context, code: str) -> None:
-    """Look for the error."""
+    """Compare the error code."""
     error = next_changes(context)
     assert getattr(error, 'code', 'none') == code, error
 
 
 @then('a watch whose connection is closed fails with "{code}"')
 def check_closed(context: Context, code: str) -> None:
-    """Close the connection while a watch waits for changes."""
+    """Close the connection during a watch call and check its error."""
 
     async def close_soon(platform: StoreClient) -> None:
         await trio.sleep(0.2)
@@ -176,13 +176,13 @@
 
 @when('the store\'s trouble is "{name}"')
 def set_trouble(context: Context, name: str) -> None:
-    """Let the store misbehave."""
+    """Set the fault of the store."""
     context.store.trouble = Trouble(name)
 
 
 @then('a reading fails with "{code}" within {limit:f} seconds')
 def check_reading_fails(context: Context, code: str, limit: float) -> None:
-    """Look for the error and its time."""
+    """Compare the error code and the duration."""
 
     async def work(platform: StoreClient) -> Any:
         began = trio.current_time()
@@ -199,14 +199,14 @@
 
 @then('a reading succeeds')
 def check_reading(context: Context) -> None:
-    """Read again."""
+    """Read all keys again."""
     read_all(context)
     assert context.found.values
 
 
 @when("a write's answer is lost")
 def lose_answer(context: Context) -> None:
-    """Write while answers to writes are lost."""
+    """Write while the store drops the answers to writes."""
     context.store.trouble = Trouble.LOST
 
     async def work(platform: StoreClient) -> Any:
@@ -221,14 +221,14 @@
 
 @then('the write counts as accepted')
 def check_accepted(context: Context) -> None:
-    """Look at the outcome."""
+    """Check the outcome of the write."""
     assert context.swapped.accepted
     assert context.swapped.current.value == b'mine'
 
 
-@when('a key is written by two under one condition')
+@when('a key is written twice under the same condition')
 def write_twice(context: Context) -> None:
-    """Write the same key twice as if it were new."""
+    """Write the same key twice with the condition that it is absent."""
 
     async def work(platform: StoreClient) -> Any:
         return [
@@ -243,9 +243,9 @@
     context.swaps = with_store(context, work)
 
 
-@then('the second is told what the first wrote')
+@then('the second write returns the value of the first')
 def check_second(context: Context) -> None:
-    """Look at both outcomes."""
+    """Check both outcomes."""
     first, second = context.swaps
     assert first.accepted
     assert not second.accepted
@@ -254,7 +254,7 @@
 
 @when('the store answers a reading with {body}')
 def answer_with(context: Context, body: str) -> None:
-    """Hand an answer to the reading."""
+    """Decode an answer as a page of a full read."""
     pages = range_pages(ALL_KEYS)
     next(pages)
     try:
@@ -267,12 +267,12 @@
 
 @then('that is refused with "{code}"')
 def check_refused(context: Context, code: str) -> None:
-    """Look at the error."""
+    """Compare the error code."""
     assert context.outcome == code, context.outcome
 
 
-@given('a follower of a store with a manifest')
-def make_follower(context: Context) -> None:
+@given('a watcher of a store with a manifest')
+def make_watcher(context: Context) -> None:
     """Fill a store with a manifest."""
     context.store = LabStore()
     put_version(context, 1)
@@ -285,13 +285,13 @@
 
 
 @when(
-    'the store goes through "{one}", "{two}", "{three}" and drops its history, '
-    'with a newer manifest each',
+    'the store goes through "{one}", "{two}", "{three}" and compacts its '
+    'history, with a newer manifest each',
 )
-def play_outage(context: Context, one: str, two: str, three: str) -> None:
-    """Play troubles, each with a change, and time what the node learns."""
+def run_outages(context: Context, one: str, two: str, three: str) -> None:
+    """Run outages with a change in each, and measure the delays."""
     table = RoutingTable()
-    context.lags = []
+    context.delays = []
 
     async def outage(trouble: Trouble, version: int) -> None:
         context.store.trouble = trouble
@@ -305,7 +305,7 @@
             if table.version >= version:
                 break
             await trio.sleep(0.02)
-        context.lags.append(trio.current_time() - began)
+        context.delays.append(trio.current_time() - began)
 
     async def work(platform: StoreClient) -> Any:
         upstreams = UpstreamRegistry()
@@ -315,7 +315,7 @@
             upstreams=upstreams,
             rng=Random(1),
         )
-        follower = StoreWatcher(
+        watcher = StoreWatcher(
             prefix=ALL_KEYS,
             source=platform,
             store_cache=StoreCache(
@@ -331,7 +331,7 @@
             rng=Random(context.seed),
         )
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(follower.run)
+            nursery.start_soon(watcher.run)
             await trio.sleep(0.2)
             names = (one, two, three, 'none')
             for version, name in enumerate(names, start=2):
@@ -341,11 +341,11 @@
     with_store(context, work)
 
 
-@then('the follower knew each of them within {limit:f} seconds')
+@then('the watcher applied each of them within {limit:f} seconds')
 def check_lags(context: Context, limit: float) -> None:
-    """Look at the longest time."""
-    assert len(context.lags) == 4
-    assert max(context.lags) <= limit, context.lags
+    """Check the longest delay."""
+    assert len(context.delays) == 4
+    assert max(context.delays) <= limit, context.delays
 
 
 @then('it has made at most {count:d} calls')
