--- a/tests/steps/network_first_exchange.py
+++ b/tests/steps/network_first_exchange.py
@@ -1,4 +1,4 @@
-"""Steps that feed answers to the first reading of the store."""
+"""Steps about the minimal HTTP client."""
 
 from unittest import mock
 
@@ -13,33 +13,33 @@
 )
 
 BODY = bytes(range(60)) * 5
-SPOILED = {
-    'an answer in chunks': (
+UNSUPPORTED = {
+    'a chunked response': (
         b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n'
     ),
-    'an answer without a length': b'HTTP/1.1 200 OK\r\n\r\nabc',
+    'a response without a length': b'HTTP/1.1 200 OK\r\n\r\nabc',
     'a head without an end': b'HTTP/1.1 200 OK\r\nX: ' + b'y' * 20000,
-    'something that is no HTTP': b'SSH-2.0-x\r\n\r\n',
+    'bytes that are not HTTP': b'SSH-2.0-x\r\n\r\n',
     'the end of the connection': b'',
 }
 
 
-def answer(body: bytes) -> bytes:
-    """Write a whole answer."""
+def response(body: bytes) -> bytes:
+    """Return a complete response."""
     head = f'HTTP/1.1 200 OK\r\nCONTENT-LENGTH: {len(body)}\r\n\r\n'
     return head.encode() + body
 
 
-@given('a first exchange')
+@given('a minimal HTTP exchange')
 def make_exchange(context: Context) -> None:
-    """Begin with nothing read."""
+    """Create an exchange."""
     context.exchange = MinimalHttpExchange(remote=Address('10.0.0.1', 80))
 
 
-@when('an answer of 300 bytes arrives in pieces of {size:d} bytes')
-def receive_pieces(context: Context, size: int) -> None:
-    """Feed an answer piece by piece."""
-    whole = answer(BODY)
+@when('a response of 300 bytes arrives in parts of {size:d} bytes')
+def receive_parts(context: Context, size: int) -> None:
+    """Receive a response in parts."""
+    whole = response(BODY)
     with mock.patch.object(
         minimal_http,
         'read_head',
@@ -52,28 +52,28 @@
     context.heads = reading.call_count
 
 
-@then('its head was read {count:d} time')
+@then('its head was decoded {count:d} time')
 def check_heads(context: Context, count: int) -> None:
     """Compare the count."""
     assert context.heads == count, context.heads
 
 
-@then('it is read whole with status 200')
+@then('it is complete with status 200')
 def check_whole(context: Context) -> None:
-    """See the answer at the last piece, and none before."""
+    """Check that only the last part completes the response."""
     *before, last = context.replies
     assert not any(before), before
     assert (last.status, last.body) == (200, BODY), last
 
 
-@when('two answers arrive in one piece')
+@when('two responses arrive in one part')
 def receive_two(context: Context) -> None:
-    """Feed both; the second is taken when it is asked for."""
-    first = context.exchange.receive(answer(b'one') + answer(b'two')[:-1])
+    """Receive both but the last byte of the second, then that byte."""
+    first = context.exchange.receive(response(b'one') + response(b'two')[:-1])
     context.replies = [first, context.exchange.receive(b'o')]
 
 
-@then('both are read, in their order')
+@then('both are decoded in order')
 def check_both(context: Context) -> None:
     """Compare the bodies."""
     bodies = [one.body for one in context.replies]
@@ -81,16 +81,16 @@
 
 
 @when('it receives {what}')
-def receive_spoiled(context: Context, what: str) -> None:
-    """Feed what can't be read."""
+def receive_unsupported(context: Context, what: str) -> None:
+    """Receive an unsupported response."""
     context.error = None
     try:
-        context.exchange.receive(SPOILED[what])
+        context.exchange.receive(UNSUPPORTED[what])
     except MinimalHttpError as error:
         context.error = error
 
 
 @then('it ends with an error')
 def check_error(context: Context) -> None:
-    """See that there was one."""
+    """Check that there was an error."""
     assert context.error is not None
