--- a/tests/observe/lines.feature
+++ b/tests/observe/lines.feature
@@ -1,9 +1,9 @@
-Feature: Log lines for changes of state
-  An upstream is down for ten minutes. Its owner tries it twice a second; with a
-  line for each try the log holds 1,200 of them, and the line that says when
-  it began, or that another upstream went too, is not found.
+Feature: Log lines for state changes
+  An upstream is down for ten minutes and its owner retries twice a second. With
+  a line for each attempt the log would have 1,200 of them, which hide the line
+  that shows when it began or that another upstream failed too.
 
-  Scenario: An outage writes one line when it begins and one when it ends
+  Scenario: An outage logs one line when it begins and one when it ends
     Given a logged upstream that refuses connections
     When ten minutes pass and it accepts them again
     Then the log has the lines "upstream unreachable" and "upstream connected"
--- a/tests/observe/tracing.feature
+++ b/tests/observe/tracing.feature
@@ -1,8 +1,7 @@
 Feature: Traces with a span for each hop
-  A kitchen says that its menu sheet came late. An operator must see on which
-  hop the time went: the VM that got the packet, the owner, or the upstream.
-  The context has to survive the relay between VMs, or each VM would show a
-  trace of its own and nobody could put them together.
+  For a slow request an operator must see which hop took the time: the VM that
+  received it, the owner, or the upstream. The trace context must be propagated
+  between VMs, or each of them would start a trace of its own.
 
   Scenario: One trace follows a request over the relay to the upstream
     Given a traced fleet of two entry VMs in two failure domains
@@ -14,7 +13,7 @@
       | upstream | relayed  | owner VM |
     And the upstream was given the context of the span "upstream"
 
-  Scenario: Nothing is traced unless a share is chosen
+  Scenario: Nothing is traced by default
     Given an untraced fleet of two entry VMs in two failure domains
     When a traced caller sends requests until one was relayed
     Then no span was made and the upstream was given no context
--- a/tests/steps/observe_lines.py
+++ b/tests/steps/observe_lines.py
@@ -1,4 +1,4 @@
-"""Steps about log lines."""
+"""Steps about log lines for state changes."""
 
 import attrs
 import trio
@@ -14,28 +14,28 @@
 
 
 @attrs.define(kw_only=True)
-class KeptLines:
-    """Stand for a logger and keep what it is told."""
+class RecordingLogger:
+    """Fake logger that records messages."""
 
-    kept: list[str] = attrs.field(factory=list)
+    messages: list[str] = attrs.field(factory=list)
 
     def log(self, level: int, text: str, *, extra: dict[str, str]) -> None:
-        """Keep one line."""
+        """Record one message."""
         assert extra['upstream'] == 'ledger-1'
-        self.kept.append(text)
+        self.messages.append(text)
 
 
 @given('a logged upstream that refuses connections')
 def plan(context: Context) -> None:
-    """Keep the lines of its client."""
-    context.lines = KeptLines()
+    """Create the logger of its client."""
+    context.lines = RecordingLogger()
 
 
 @when('ten minutes pass and it accepts them again')
 def run(context: Context) -> None:
-    """Run the client of an upstream alone."""
+    """Run a VM with one upstream that refuses connections at first."""
 
-    async def story() -> None:
+    async def script() -> None:
         async with open_world(context.seed) as world:
             line = world.start_upstream('kiosk-ledger', 'ledger-1', 'cz-a')
             listener = world.network.listeners.pop(line.address)
@@ -54,10 +54,10 @@
             world.network.listeners[line.address] = listener
             await trio.sleep(10)
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
 @then('the log has the lines "{first}" and "{second}"')
 def check_lines(context: Context, first: str, second: str) -> None:
-    """Compare all lines."""
-    assert context.lines.kept == [first, second], context.lines.kept
+    """Compare all messages."""
+    assert context.lines.messages == [first, second], context.lines.messages
--- a/tests/steps/observe_stdout.py
+++ b/tests/steps/observe_stdout.py
@@ -15,7 +15,7 @@
 
 @given('a handler that writes to a pipe')
 def make_handler(context: Context) -> None:
-    """Open a pipe and a handler at its end."""
+    """Create a pipe and a handler that writes to it."""
     context.reader, writer = os.pipe()
     os.set_blocking(context.reader, False)
     context.handler = StdoutHandler(
@@ -25,14 +25,14 @@
 
 
 def log(context: Context, message: str, **fields: object) -> None:
-    """Hand a record to the handler."""
+    """Log a record with the handler."""
     record = logging.LogRecord('x', logging.INFO, '', 0, message, (), None)
     record.__dict__.update(fields)
     context.handler.emit(record)
 
 
 def lines(context: Context) -> list[dict[str, object]]:
-    """Read all lines that were written."""
+    """Return all lines that were written so far."""
     while True:
         try:
             context.written += os.read(context.reader, 65536)
@@ -43,7 +43,7 @@
 
 @when('{many:d} lines of "{one}" and 1 of "{two}" are logged within a second')
 def log_many(context: Context, many: int, one: str, two: str) -> None:
-    """Log in one second, and once more in the next."""
+    """Log within one second, and once in the next one."""
     with mock.patch('time.monotonic', return_value=5.0):
         for _ in range(many):
             log(context, one)
@@ -61,9 +61,9 @@
     assert found.count(two) == 1
 
 
-@then('the next line of "{one}" tells that {count:d} were left out')
+@then('the next line of "{one}" shows that {count:d} were left out')
 def check_left_out(context: Context, one: str, count: int) -> None:
-    """Look at the line of the next second."""
+    """Check the line of the next second."""
     last = lines(context)[-1]
     assert last['message'] == one
     assert last['left_out'] == count, last
@@ -71,7 +71,7 @@
 
 @when('{count:d} lines of {kinds:d} messages are logged and nobody reads')
 def fill_pipe(context: Context, count: int, kinds: int) -> None:
-    """Log more than a pipe holds."""
+    """Log more than the capacity of the pipe."""
     began = time.monotonic()
     for number in range(count):
         log(context, f'message {number % kinds}', padding='x' * 100)
@@ -80,7 +80,7 @@
 
 @then('that took less than {limit:d} seconds and lines were dropped')
 def check_never_blocks(context: Context, limit: int) -> None:
-    """Look at the time and the count."""
+    """Check the duration and the dropped lines."""
     assert context.took < limit, context.took
     assert context.handler.writer.dropped > 0
 
@@ -98,7 +98,7 @@
 
 @then('both are JSON objects with node, time, level and message')
 def check_json(context: Context) -> None:
-    """Look at both lines."""
+    """Check the fields of both lines."""
     decision, failure = lines(context)
     for line in (decision, failure):
         assert {'node', 'time', 'level', 'message'} <= line.keys()
--- a/tests/steps/observe_tracing.py
+++ b/tests/steps/observe_tracing.py
@@ -1,4 +1,4 @@
-"""Steps about traces."""
+"""Steps about tracing."""
 
 import attrs
 import trio
@@ -22,13 +22,13 @@
 
 
 @attrs.define(kw_only=True)
-class NotingUpstream(StandInUpstream):
-    """Remember the trace context of each request."""
+class RecordingUpstream(StandInUpstream):
+    """Upstream that records the trace context of each request."""
 
     contexts: list[str] = attrs.field(factory=list)
 
     def enter_ledger(self, request: ReceivedRequest) -> None:
-        """Note the header of a request that runs."""
+        """Record the header of a request."""
         self.contexts.append(request.headers.get('traceparent', ''))
         super().enter_ledger(request)
 
@@ -41,17 +41,17 @@
 
 @given('an untraced fleet of two entry VMs in two failure domains')
 def plan_untraced(context: Context) -> None:
-    """Leave the setting at its default."""
+    """Use the default of the setting."""
     context.trace_ratio = 0
 
 
 @when('a traced caller sends requests until one was relayed')
 def send(context: Context) -> None:
-    """Run the story; the last request went over both VMs."""
+    """Send requests until one was relayed over both VMs."""
     context.exporter = InMemorySpanExporter()
-    upstream = NotingUpstream(service='rounds', name='rounds-1', slots=2)
+    upstream = RecordingUpstream(service='rounds', name='rounds-1', slots=2)
 
-    async def story() -> None:
+    async def script() -> None:
         async with open_world(context.seed) as world:
             line = world.start_upstream('rounds', 'rounds-1', 'cz-a')
             world.network.listeners[line.address] = upstream.serve_stream
@@ -79,13 +79,13 @@
                         return
         raise AssertionError('no request was relayed')
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
     context.upstream_contexts = [text for text in upstream.contexts if text]
 
 
 @then('its trace has the spans')
 def check_spans(context: Context) -> None:
-    """Compare the last trace, first hop first."""
+    """Compare the spans of the last trace."""
     spans = context.exporter.get_finished_spans()
     last = spans[-1].context.trace_id
     found = [span for span in spans if span.context.trace_id == last]
@@ -106,7 +106,7 @@
 
 @then('the upstream was given the context of the span "{name}"')
 def check_header(context: Context, name: str) -> None:
-    """Compare the header with the span's ids."""
+    """Compare the header with the ids of the span."""
     spans = context.exporter.get_finished_spans()
     span = [span for span in spans if span.name == name][-1].context
     flags = f'{span.trace_flags:02x}'
@@ -116,6 +116,6 @@
 
 @then('no span was made and the upstream was given no context')
 def check_untraced(context: Context) -> None:
-    """Look for anything at all."""
+    """Check that there are no spans and no trace context."""
     assert not context.exporter.get_finished_spans()
     assert not context.upstream_contexts
