--- a/tests/checks/checks.feature
+++ b/tests/checks/checks.feature
@@ -1,7 +1,6 @@
 Feature: System checks
-  Before a VM starts or a document is put, an operator asks what is wrong.
-  A check must find everything at once and must not stop at an unreachable
-  platform, or the settings behind it would go unread.
+  Operators run them before a VM starts or a document is put. One run must find
+  all errors; an unreachable platform must not keep it from checking the rest.
 
   Scenario: Settings, documents and the platform are reported together
     Given settings of an entry VM
@@ -16,7 +15,7 @@
       | burdocksill.E201 | ERROR |
       | burdocksill.E101 | ERROR |
 
-  Scenario: Slips in valid settings and documents are warnings
+  Scenario: Suspicious but valid settings and documents are warnings
     Given settings of an entry VM
     And the setting "admin" is "0.0.0.0:5691"
     And the setting "seed" is "7"
@@ -34,7 +33,7 @@
 
   Scenario: VMs that do not answer or cannot serve are warnings
     Given settings of an entry VM
-    And the system checks get an answer of a fleet in trouble
+    And the system checks get the status of a fleet with faults
     When the fleet's system checks run
     Then the system checks report
       | id               | level   |
@@ -44,6 +43,6 @@
       | burdocksill.W304 | WARNING |
 
   Scenario: The command's exit code follows the level
-    Then burdocksill check on a wrong setting ends with 1
-    And burdocksill check on a slip ends with 0
-    And burdocksill check on a slip that must not be ends with 1
+    Then burdocksill check on an invalid setting ends with 1
+    And burdocksill check on a suspicious setting ends with 0
+    And burdocksill check on a suspicious setting with --fail-level ends with 1
--- a/tests/steps/checks_checks.py
+++ b/tests/steps/checks_checks.py
@@ -33,34 +33,34 @@
 
 
 class DownPlatform(MemoryPlatform):
-    """Answer no read."""
+    """Platform that fails every prefix read."""
 
     async def read_prefix(self, prefix: str) -> Snapshot:
-        """Fail as an outage does."""
+        """Fail as during an outage."""
         raise PlatformUnavailableError(message='down')
 
 
 @given('the system checks get a document without upstreams')
 def give_empty(context: Context) -> None:
-    """Name a document that cannot be valid."""
+    """Use an invalid document."""
     context.checked_text = f'{HEAD}upstreams = []\n'
 
 
 @given('the system checks get a document in one failure domain')
 def give_single(context: Context) -> None:
-    """Name a valid document with a slip."""
+    """Use a valid document that gives a warning."""
     context.checked_text = HEAD + UPSTREAM
 
 
 @given('the system checks get a platform that is down')
 def give_down(context: Context) -> None:
-    """Give a platform in an outage."""
+    """Use a platform in an outage."""
     context.checked_platform = DownPlatform()
 
 
 @given('the system checks get an empty platform')
 def give_new(context: Context) -> None:
-    """Give a platform that nobody has written to."""
+    """Use a platform without keys."""
     context.checked_platform = MemoryPlatform()
 
 
@@ -81,9 +81,9 @@
         )
 
 
-@given('the system checks get an answer of a fleet in trouble')
+@given('the system checks get the status of a fleet with faults')
 def give_fleet(context: Context) -> None:
-    """Answer with one VM of each kind of trouble."""
+    """Use a fleet status with one VM for each kind of warning."""
 
     async def ask() -> FleetStatus:
         started = NodeStatus(
@@ -103,7 +103,7 @@
 
 @when("the fleet's system checks run")
 def run_fleet(context: Context) -> None:
-    """Run the checks of the fleet alone."""
+    """Run only the checks of the fleet."""
 
     async def call() -> list[CheckMessage]:
         return await run_checks(
@@ -120,7 +120,7 @@
 
 @then('the system checks report')
 def check_messages(context: Context) -> None:
-    """Compare ids and levels in order."""
+    """Compare ids and levels, in order."""
     expected = [(row['id'], row['level']) for row in context.table]
     found = [
         (message.id, message.level.name) for message in context.check_messages
@@ -129,7 +129,7 @@
 
 
 def run_check_command(*arguments: str) -> int:
-    """Run `burdocksill check` on settings alone."""
+    """Run `burdocksill check` only on settings; return the exit code."""
     settings = [
         '--name=a',
         '--domain=a',
@@ -141,20 +141,20 @@
     return CliRunner().invoke(main, ['check', *settings, *arguments]).exit_code
 
 
-@then('burdocksill check on a wrong setting ends with 1')
-def check_wrong(context: Context) -> None:
-    """Give an address without a port."""
+@then('burdocksill check on an invalid setting ends with 1')
+def check_invalid(context: Context) -> None:
+    """Use an address without a port."""
     assert run_check_command('--admin=10.0.0.1') == 1
 
 
-@then('burdocksill check on a slip ends with 0')
-def check_slip(context: Context) -> None:
-    """Bind to every network."""
+@then('burdocksill check on a suspicious setting ends with 0')
+def check_suspicious(context: Context) -> None:
+    """Bind the admin address to all interfaces."""
     assert run_check_command('--admin=0.0.0.0:3') == 0
 
 
-@then('burdocksill check on a slip that must not be ends with 1')
+@then('burdocksill check on a suspicious setting with --fail-level ends with 1')
 def check_strict(context: Context) -> None:
-    """Bind to every network and fail on warnings."""
+    """Bind to all interfaces and fail on warnings."""
     arguments = ('--admin=0.0.0.0:3', '--fail-level=WARNING')
     assert run_check_command(*arguments) == 1
