--- a/burdocksill/observe/early.py
+++ b/burdocksill/observe/early.py
@@ -1,8 +1,8 @@
 """Logger for modules that run before logging is imported.
 
 Importing logging takes longer than the initial read of the store, and no packet
-is forwarded before that. Without a writer, as in tests, lines go through the
-logging module.
+is forwarded before that. Until a writer is set, lines go through the logging
+module.
 """
 
 from __future__ import annotations
