--- a/burdocksill/packets/node.py
+++ b/burdocksill/packets/node.py
@@ -21,7 +21,7 @@
 # Routers remove a node after two failed readiness probes.
 MIN_STOP_SECONDS: Final = 1.1
 # A node in rotation receives several packets in this time.
-QUIET_SECONDS: Final = 0.4
+IDLE_SECONDS: Final = 0.4
 OK: Final = 200
 UNAVAILABLE: Final = 503
 NOT_FOUND: Final = 404
@@ -74,18 +74,18 @@
             began = self.clock()
             logger.info('stopping', extra={'for_s': self.settings.stop_seconds})
             await self.store_sync.leave()
-            await self.wait_for_quiet(began)
+            await self.wait_for_routers(began)
 
-    async def wait_for_quiet(self, began: float) -> None:
+    async def wait_for_routers(self, began: float) -> None:
         """Wait until no router sends packets, or the stop time is over."""
         deadline = began + self.settings.stop_seconds
         await trio.sleep(MIN_STOP_SECONDS)
         while True:
             now = self.clock()
-            quiet_at = self.core.last_packet_at + QUIET_SECONDS
-            if now >= min(quiet_at, deadline):
+            idle_at = self.core.last_packet_at + IDLE_SECONDS
+            if now >= min(idle_at, deadline):
                 return
-            await trio.sleep(min(quiet_at, deadline) - now)
+            await trio.sleep(min(idle_at, deadline) - now)
 
     async def forward_packets(self) -> None:
         """Handle packets of the routers in batches."""
--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -107,7 +107,7 @@
         if found.revision < self.progress.revision:
             return
         self.progress.needs_full_read = False
-        self.apply(self.difference(found), synced_at)
+        self.apply(self.as_changes(found), synced_at)
 
     def apply_changes(self, found: Snapshot, synced_at: float) -> None:
         """Apply changes that the store sent."""
@@ -151,7 +151,7 @@
         for listener in self.listeners:
             listener(before, newer)
 
-    def difference(self, found: Snapshot) -> Snapshot:
+    def as_changes(self, found: Snapshot) -> Snapshot:
         """Return a full read as changes to the cached revision.
 
         Keys missing from the full read were removed at its revision or before.
--- a/burdocksill/platform/early.py
+++ b/burdocksill/platform/early.py
@@ -34,36 +34,36 @@
 def find_address(text: str, name: str) -> HostPort | None:
     """Return the host and port of a field, None if missing or invalid."""
     for line in text.splitlines():
-        field, _, place = line.partition('=')
-        host, _, port = place.strip().rpartition(':')
+        field, _, address = line.partition('=')
+        host, _, port = address.strip().rpartition(':')
         if field.strip() == name and host and port.isdecimal():
             return host, int(port)
     return None
 
 
-def bind_packets(place: HostPort) -> socket.socket:
+def bind_packets(address: HostPort) -> socket.socket:
     """Return a bound, non-blocking socket for packets."""
     bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     bound.setblocking(False)
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER_BYTES)
-    return bind(bound, place)
+    return bind(bound, address)
 
 
-def bind_probes(place: HostPort) -> socket.socket:
+def bind_probes(address: HostPort) -> socket.socket:
     """Return a listening socket; probes are queued until it is served."""
     bound = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     bound.setblocking(False)
     # Connections of the previous process may still be in TIME_WAIT.
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    bind(bound, place)
+    bind(bound, address)
     bound.listen(PROBE_BACKLOG)
     return bound
 
 
-def bind(unbound: socket.socket, place: HostPort) -> socket.socket:
+def bind(unbound: socket.socket, address: HostPort) -> socket.socket:
     """Bind a socket; close it and raise OSError on failure."""
     try:
-        unbound.bind(place)
+        unbound.bind(address)
     except OSError:
         unbound.close()
         raise
