--- a/burdocksill/packets/faststart.py
+++ b/burdocksill/packets/faststart.py
@@ -92,7 +92,7 @@
         except BlockingIOError:
             return
         except (OSError, BurdocksillError) as error:
-            logger.warning('first reading failed', extra={'cause': repr(error)})
+            logger.warning('initial read failed', extra={'cause': repr(error)})
             self.finish()
 
     def send_or_receive(self) -> None:
@@ -153,7 +153,7 @@
     while not reading.finished:
         now = time.monotonic()
         if now >= min(reading.received_at + IDLE_TIMEOUT_SECONDS, deadline):
-            logger.warning('first reading given up')
+            logger.warning('initial read timed out')
             break
         wanted = [reading.sock]
         select.select(
