--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -72,7 +72,7 @@
 
     def drain(self, now: float) -> None:
         """Handle at most one batch of waiting packets without blocking."""
-        self.forwarder.flows.is_backlogged = self.is_backlogged(now)
+        self.forwarder.flows.is_backlogged = self.has_backlog(now)
         for _ in range(BATCH_LIMIT):
             try:
                 payload = self.datagrams.recv(LARGEST_PACKET + 1)
@@ -102,7 +102,7 @@
             return 0
         return max(0, self.forwarder.openings.next_due() - now)
 
-    def is_backlogged(self, now: float) -> bool:
+    def has_backlog(self, now: float) -> bool:
         """Return True when the socket has not been empty for too long.
 
         A node that was slowed down reads a client's retransmission although
