--- a/burdocksill/ownership/succession.py
+++ b/burdocksill/ownership/succession.py
@@ -12,7 +12,7 @@
 class SuccessorPolicy(Protocol):
     """Choose the heir of an upstream."""
 
-    def heir(self, members: Sequence[Member], subject: str) -> Member | None:
+    def choose(self, members: Sequence[Member], subject: str) -> Member | None:
         """Return the heir, None when the epochs are sealed instead."""
 
 
@@ -24,7 +24,7 @@
     know its requests, and is told "may have run" in a change that was planned.
     """
 
-    def heir(self, members: Sequence[Member], subject: str) -> Member | None:
+    def choose(self, members: Sequence[Member], subject: str) -> Member | None:
         """Return the member with the highest score."""
         return owner_of(members, subject)
 
@@ -33,6 +33,6 @@
 class NoSuccessorPolicy:
     """Hand over to nobody: the naive baseline of the control runs."""
 
-    def heir(self, members: Sequence[Member], subject: str) -> Member | None:
+    def choose(self, members: Sequence[Member], subject: str) -> Member | None:
         """Return the owner of an empty domain: nobody."""
         return owner_of((), subject)
--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -253,7 +253,7 @@
             if member.tag != local_member.tag
         ]
         name = subject(owned.document.service, current.name)
-        return self.successor_policy.heir(others, name)
+        return self.successor_policy.choose(others, name)
 
     async def hand_over(self, owned: OwnedUpstream, heir: Member) -> None:
         """Send an upstream's table to one heir and to no other, ever."""
