--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -54,8 +54,8 @@
             return
         key = key_of(request.service, request.upstream)
         owned = self.table.owned.get(key)
-        heir = self.table.members.find(opened.sender_tag)
-        if heir is None or self.is_handing_over(key, heir):
+        successor = self.table.members.find(opened.sender_tag)
+        if successor is None or self.is_handing_over(key, successor):
             return
         if owned is None:
             none = HandoverNone(
@@ -68,10 +68,10 @@
         # Where both believe that they own it, this VM keeps silent until
         # their views of the members agree; the other asks again.
 
-    def is_handing_over(self, key: OwnedKey, heir: Member) -> bool:
+    def is_handing_over(self, key: OwnedKey, successor: Member) -> bool:
         """Return True while a transfer to the heir is under way."""
         return any(
-            sender.heir.tag == heir.tag
+            sender.successor.tag == successor.tag
             and sender.owned.document.service == key.service
             and name_tag(sender.owned.upstream.name) == key.upstream_tag
             for sender in self.table.senders
--- a/burdocksill/ownership/handover.py
+++ b/burdocksill/ownership/handover.py
@@ -107,7 +107,7 @@
     """Send one upstream's table to its heir."""
 
     owned: OwnedUpstream
-    heir: Member
+    successor: Member
     peers: PeerSender
     rng: Random
     transfer: bytes = b''
@@ -119,7 +119,7 @@
     async def run(self) -> None:
         """Send until the heir has everything or is given up."""
         self.transfer = self.rng.randbytes(TRANSFER_BYTES)
-        self.owned.hand_over_to(self.heir)
+        self.owned.hand_over_to(self.successor)
         self.owned.on_settled = self.send_settled
         # Most requests end at once; what is over before the table leaves
         # cannot load the upstream together with the heir's requests.
@@ -142,7 +142,7 @@
         """Send the first missing parts and wait for acknowledgements."""
         self.acknowledged = trio.Event()
         for part in list(self.missing.values())[:PARTS_IN_FLIGHT]:
-            self.peers.send(part, self.heir.peer_address)
+            self.peers.send(part, self.successor.peer_address)
         with trio.move_on_after(REPEAT_SECONDS):
             await self.acknowledged.wait()
 
@@ -171,7 +171,7 @@
             ),
         )
         self.late[key] = settled
-        self.peers.send(settled, self.heir.peer_address)
+        self.peers.send(settled, self.successor.peer_address)
 
     def take_settled_ack(self, key: bytes) -> None:
         """Note that the heir has an answer."""
@@ -184,7 +184,7 @@
             while self.late:  # noqa: ASYNC110
                 await trio.sleep(REPEAT_SECONDS)
                 for settled in self.late.values():
-                    self.peers.send(settled, self.heir.peer_address)
+                    self.peers.send(settled, self.successor.peer_address)
 
 
 @attrs.define(kw_only=True)
--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -120,7 +120,7 @@
     scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
     state: OwnershipState = OwnershipState.TAKING
     ready: trio.Event = attrs.field(factory=trio.Event)
-    heir: Member | None = None
+    successor: Member | None = None
     # Operators took the failure domain out.
     given_up: bool = False
     waiting: list[Envelope] = attrs.field(factory=list)
@@ -165,7 +165,7 @@
 
     def open_flow(self, envelope: Envelope) -> None:
         """Give a new flow its cookie: nothing was dispatched."""
-        if self.heir is not None:
+        if self.successor is not None:
             self.pass_on(envelope, upstream=self.upstream.name)
             return
         try:
@@ -201,7 +201,7 @@
         if not self.ready.is_set():
             with trio.move_on_after(READY_SECONDS):
                 await self.ready.wait()
-        if self.side.answer(envelope, cookie, has_heir=bool(self.heir)):
+        if self.side.answer(envelope, cookie, has_heir=bool(self.successor)):
             return
         table = self.epochs.find(cookie.epoch)
         if table is None:
@@ -217,7 +217,7 @@
     ) -> None:
         """Dispatch a request of an epoch held here once, answer every copy."""
         feeds = is_feed(envelope.request) and envelope.verified
-        if feeds and self.heir is None:
+        if feeds and self.successor is None:
             await self.feeds.serve(envelope, cookie)
             return
         key = request_key(cookie.flow_id, envelope.request.token)
@@ -227,7 +227,7 @@
         if claim.state is not ClaimState.FRESH:
             self.answer_copy(envelope, claim)
             return
-        if self.heir is not None:
+        if self.successor is not None:
             self.pass_on(envelope)
             return
         if table.sealed:
@@ -279,7 +279,7 @@
         now = trio.current_time()
         self.epochs.seal_when_full(now)
         digest = request_digest(envelope.request)
-        if table.sealed or self.heir is not None:
+        if table.sealed or self.successor is not None:
             return table.window.find(key, digest)
         return table.window.claim(key, digest, now=now)
 
@@ -329,7 +329,7 @@
         Its holder may have run it, so only a request that may run twice runs
         here; any other is told so at once, with a cookie for new requests.
         """
-        if self.heir is not None:
+        if self.successor is not None:
             self.pass_on(envelope)
             return
         current = self.epochs.current
@@ -405,9 +405,9 @@
 
     def pass_on(self, envelope: Envelope, *, upstream: str = '') -> None:
         """Send a request to the heir, or keep it until the heir can take it."""
-        if self.heir is None:
+        if self.successor is None:
             return
-        known = self.link.reachable(self.heir)
+        known = self.link.reachable(self.successor)
         if self.state is OwnershipState.HEIR_LOST or not known:
             # The lost heir may hold the epochs and may have run the request.
             failure = RequestFailedError(
@@ -418,15 +418,15 @@
         elif self.state is OwnershipState.HANDED_OVER or upstream:
             self.link.relay(
                 envelope,
-                self.heir.peer_address,
+                self.successor.peer_address,
                 upstream=upstream,
             )
         elif len(self.waiting) < WAITING_LIMIT:
             self.waiting.append(envelope)
 
-    def hand_over_to(self, heir: Member) -> None:
+    def hand_over_to(self, successor: Member) -> None:
         """Dispatch nothing new from here on, whatever becomes of the heir."""
-        self.heir = heir
+        self.successor = successor
         self.state = OwnershipState.HANDING_OVER
         self.ready.set()
 
--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -232,12 +232,12 @@
         if self.store.is_out(owned.upstream.domain):
             give_up(owned)
             return
-        heir = self.heir_of(owned)
-        if heir is None:
+        successor = self.heir_of(owned)
+        if successor is None:
             owned.retire()
             self.nursery.start_soon(self.close_when_idle, owned)
         else:
-            self.nursery.start_soon(self.hand_over, owned, heir)
+            self.nursery.start_soon(self.hand_over, owned, successor)
 
     def heir_of(self, owned: OwnedUpstream) -> Member | None:
         """Return the member that owns an upstream once this VM does not."""
@@ -255,13 +255,13 @@
         name = subject(owned.document.service, current.name)
         return self.successor_policy.choose(others, name)
 
-    async def hand_over(self, owned: OwnedUpstream, heir: Member) -> None:
+    async def hand_over(self, owned: OwnedUpstream, successor: Member) -> None:
         """Send an upstream's table to one heir and to no other, ever."""
-        if owned.heir is not None:
+        if owned.successor is not None:
             return
         sender = HandoverSender(
             owned=owned,
-            heir=heir,
+            successor=successor,
             peers=self.peers,
             rng=self.rng,
         )
@@ -273,7 +273,7 @@
             'handed upstream over',
             extra={
                 'upstream': owned.upstream.name,
-                'heir': heir.name,
+                'heir': successor.name,
                 'tenure': owned.state.value,
             },
         )
@@ -288,11 +288,11 @@
         self.stopping = True
         async with trio.open_nursery() as nursery:
             for owned in self.owned.values():
-                heir = self.heir_of(owned)
-                if heir is None:
+                successor = self.heir_of(owned)
+                if successor is None:
                     owned.retire()
                 else:
-                    nursery.start_soon(self.hand_over, owned, heir)
+                    nursery.start_soon(self.hand_over, owned, successor)
             for owned in self.everything():
                 nursery.start_soon(owned.progress.wait_idle)
 
