--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -160,7 +160,7 @@
                 await self.ready.wait()
         if cookie is None:
             self.open_flow(envelope)
-        elif not self.side.answer(envelope, cookie, has_heir=False):
+        elif not self.side.answer(envelope, cookie, has_successor=False):
             await self.serve_foreign(envelope, cookie, reason)
 
     def open_flow(self, envelope: Envelope) -> None:
@@ -201,7 +201,9 @@
         if not self.ready.is_set():
             with trio.move_on_after(READY_SECONDS):
                 await self.ready.wait()
-        if self.side.answer(envelope, cookie, has_heir=bool(self.successor)):
+        if self.side.answer(
+            envelope, cookie, has_successor=bool(self.successor)
+        ):
             return
         table = self.epochs.find(cookie.epoch)
         if table is None:
--- a/burdocksill/ownership/side_requests.py
+++ b/burdocksill/ownership/side_requests.py
@@ -28,7 +28,7 @@
     link: CallerLink
 
     def answer(
-        self, envelope: Envelope, cookie: Cookie, *, has_heir: bool
+        self, envelope: Envelope, cookie: Cookie, *, has_successor: bool
     ) -> bool:
         """Answer such a request; return False for any other.
 
@@ -38,7 +38,7 @@
         try:
             answer = self.find(envelope, cookie)
         except RequestFailedError as failure:
-            if has_heir:
+            if has_successor:
                 return False
             answer = refusal(failure, cookie=fresh)
         if answer is None:
