--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -232,14 +232,14 @@
         if self.store.is_out(owned.upstream.domain):
             give_up(owned)
             return
-        successor = self.heir_of(owned)
+        successor = self.successor_of(owned)
         if successor is None:
             owned.retire()
             self.nursery.start_soon(self.close_when_idle, owned)
         else:
             self.nursery.start_soon(self.hand_over, owned, successor)
 
-    def heir_of(self, owned: OwnedUpstream) -> Member | None:
+    def successor_of(self, owned: OwnedUpstream) -> Member | None:
         """Return the member that owns an upstream once this VM does not."""
         domain = owned.upstream.domain
         document = self.store.services.get(owned.document.service)
@@ -288,7 +288,7 @@
         self.stopping = True
         async with trio.open_nursery() as nursery:
             for owned in self.owned.values():
-                successor = self.heir_of(owned)
+                successor = self.successor_of(owned)
                 if successor is None:
                     owned.retire()
                 else:
