--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -68,7 +68,7 @@
     HANDING_OVER = 'handing-over'
     HANDED_OVER = 'handed-over'
     # The heir did not acknowledge; it may hold the epochs all the same.
-    HEIR_LOST = 'heir-lost'
+    SUCCESSOR_LOST = 'heir-lost'
     # Nobody took over: the epochs are sealed and stay here.
     RETIRED = 'retired'
 
@@ -410,7 +410,7 @@
         if self.successor is None:
             return
         known = self.link.reachable(self.successor)
-        if self.state is OwnershipState.HEIR_LOST or not known:
+        if self.state is OwnershipState.SUCCESSOR_LOST or not known:
             # The lost heir may hold the epochs and may have run the request.
             failure = RequestFailedError(
                 verdict=self.unknown_epoch_policy.verdict(),
@@ -437,7 +437,7 @@
         if acknowledged:
             self.state = OwnershipState.HANDED_OVER
         else:
-            self.state = OwnershipState.HEIR_LOST
+            self.state = OwnershipState.SUCCESSOR_LOST
         self.feeds.end_all(Reason.STOPPING, keeps_flow=acknowledged)
         waiting = self.waiting
         self.waiting = []
