--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -22,9 +22,9 @@
 from burdocksill.ownership.cookies import CookieIssuer
 from burdocksill.ownership.epochs import EpochHolder, EpochTable
 from burdocksill.ownership.feeds import FeedTable
+from burdocksill.ownership.local_requests import SideRequests
 from burdocksill.ownership.progress import InProgress
 from burdocksill.ownership.protocols import CallerLink, Fence
-from burdocksill.ownership.side_requests import SideRequests
 from burdocksill.ownership.unknown_epochs import UnknownEpochPolicy
 from burdocksill.requests.blocks import Transfers
 from burdocksill.requests.cancellation import Cancellations
