--- a/burdocksill/ownership/local_requests.py
+++ b/burdocksill/ownership/local_requests.py
@@ -14,7 +14,7 @@
 
 
 @attrs.define(kw_only=True)
-class SideRequests:
+class LocalRequests:
     """Answer for parts of bodies and answers, and for fresh cookies.
 
     They need no claim in the at-most-once window, since none of them reaches
--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -22,7 +22,7 @@
 from burdocksill.ownership.cookies import CookieIssuer
 from burdocksill.ownership.epochs import EpochHolder, EpochTable
 from burdocksill.ownership.feeds import FeedTable
-from burdocksill.ownership.local_requests import SideRequests
+from burdocksill.ownership.local_requests import LocalRequests
 from burdocksill.ownership.progress import InProgress
 from burdocksill.ownership.protocols import CallerLink, Fence
 from burdocksill.ownership.unknown_epochs import UnknownEpochPolicy
@@ -73,9 +73,9 @@
     RETIRED = 'retired'
 
 
-def make_side_requests(owned: 'OwnedUpstream') -> SideRequests:
+def make_side_requests(owned: 'OwnedUpstream') -> LocalRequests:
     """Make what answers the requests that run nothing."""
-    return SideRequests(
+    return LocalRequests(
         service=owned.document.service,
         transfers=owned.transfers,
         cookies=owned.cookies,
@@ -131,7 +131,7 @@
     feeds: FeedTable = attrs.field(
         default=attrs.Factory(make_feeds, takes_self=True),
     )
-    side: SideRequests = attrs.field(
+    side: LocalRequests = attrs.field(
         default=attrs.Factory(make_side_requests, takes_self=True),
     )
 
