--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -73,7 +73,7 @@
     RETIRED = 'retired'
 
 
-def make_side_requests(owned: 'OwnedUpstream') -> LocalRequests:
+def make_local_requests(owned: 'OwnedUpstream') -> LocalRequests:
     """Make what answers the requests that run nothing."""
     return LocalRequests(
         service=owned.document.service,
@@ -132,7 +132,7 @@
         default=attrs.Factory(make_feeds, takes_self=True),
     )
     side: LocalRequests = attrs.field(
-        default=attrs.Factory(make_side_requests, takes_self=True),
+        default=attrs.Factory(make_local_requests, takes_self=True),
     )
 
     async def run(self) -> None:
