--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -131,7 +131,7 @@
     feeds: FeedTable = attrs.field(
         default=attrs.Factory(make_feeds, takes_self=True),
     )
-    side: LocalRequests = attrs.field(
+    local_requests: LocalRequests = attrs.field(
         default=attrs.Factory(make_local_requests, takes_self=True),
     )
 
@@ -160,7 +160,9 @@
                 await self.ready.wait()
         if cookie is None:
             self.open_flow(envelope)
-        elif not self.side.answer(envelope, cookie, has_successor=False):
+        elif not self.local_requests.answer(
+            envelope, cookie, has_successor=False
+        ):
             await self.serve_foreign(envelope, cookie, reason)
 
     def open_flow(self, envelope: Envelope) -> None:
@@ -201,7 +203,7 @@
         if not self.ready.is_set():
             with trio.move_on_after(READY_SECONDS):
                 await self.ready.wait()
-        if self.side.answer(
+        if self.local_requests.answer(
             envelope, cookie, has_successor=bool(self.successor)
         ):
             return
