--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -22,8 +22,8 @@
 from burdocksill.ownership.cookies import CookieIssuer
 from burdocksill.ownership.epochs import EpochHolder, EpochTable
 from burdocksill.ownership.feeds import FeedTable
+from burdocksill.ownership.in_flight import InProgress
 from burdocksill.ownership.local_requests import LocalRequests
-from burdocksill.ownership.progress import InProgress
 from burdocksill.ownership.protocols import CallerLink, Fence
 from burdocksill.ownership.unknown_epochs import UnknownEpochPolicy
 from burdocksill.requests.blocks import Transfers
