--- a/burdocksill/ownership/in_flight.py
+++ b/burdocksill/ownership/in_flight.py
@@ -8,7 +8,7 @@
 
 
 @attrs.define(kw_only=True)
-class InProgress:
+class InFlightRequests:
     """Count what runs and wake whoever waits for the last to end."""
 
     running: int = 0
--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -22,7 +22,7 @@
 from burdocksill.ownership.cookies import CookieIssuer
 from burdocksill.ownership.epochs import EpochHolder, EpochTable
 from burdocksill.ownership.feeds import FeedTable
-from burdocksill.ownership.in_flight import InProgress
+from burdocksill.ownership.in_flight import InFlightRequests
 from burdocksill.ownership.local_requests import LocalRequests
 from burdocksill.ownership.protocols import CallerLink, Fence
 from burdocksill.ownership.unknown_epochs import UnknownEpochPolicy
@@ -125,7 +125,7 @@
     given_up: bool = False
     waiting: list[Envelope] = attrs.field(factory=list)
     cancellations: Cancellations = attrs.field(factory=Cancellations)
-    progress: InProgress = attrs.field(factory=InProgress)
+    progress: InFlightRequests = attrs.field(factory=InFlightRequests)
     # Called with epoch, key and answer of each request that ends here.
     on_settled: Callable[[bytes, RequestKey, Answer], None] | None = None
     feeds: FeedTable = attrs.field(
