--- a/burdocksill/ownership/in_flight.py
+++ b/burdocksill/ownership/in_flight.py
@@ -15,7 +15,7 @@
     idle: trio.Event = attrs.field(factory=trio.Event)
 
     @contextmanager
-    def one(self) -> Iterator[None]:
+    def track(self) -> Iterator[None]:
         """Count one request while the block runs."""
         self.running += 1
         try:
--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -249,7 +249,7 @@
             self.settle(table, key, OVERLOADED)
             return
         with (
-            self.progress.one(),
+            self.progress.track(),
             self.counters.timed(
                 'request',
                 service=self.document.service,
