--- a/burdocksill/ownership/in_flight.py
+++ b/burdocksill/ownership/in_flight.py
@@ -22,9 +22,9 @@
             yield
         finally:
             self.running -= 1
-            self.note_idle()
+            self.notify_if_idle()
 
-    def note_idle(self) -> None:
+    def notify_if_idle(self) -> None:
         """Wake the waiting tasks when nothing runs any more."""
         if self.running == 0:
             self.idle.set()
