--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -211,9 +211,9 @@
         if table is None:
             await self.serve_foreign(envelope, cookie)
         else:
-            await self.serve_held(envelope, cookie, table)
+            await self.serve_held_epoch(envelope, cookie, table)
 
-    async def serve_held(
+    async def serve_held_epoch(
         self,
         envelope: Envelope,
         cookie: Cookie,
@@ -350,7 +350,7 @@
                 issued=int(self.clock.now()),
             )
             doubtful = attrs.evolve(envelope, may_have_run_elsewhere=True)
-            await self.serve_held(doubtful, adopted, current)
+            await self.serve_held_epoch(doubtful, adopted, current)
         else:
             failure = RequestFailedError(
                 verdict=self.unknown_epoch_policy.verdict(),
