--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -163,7 +163,7 @@
         elif not self.local_requests.answer(
             envelope, cookie, has_successor=False
         ):
-            await self.serve_foreign(envelope, cookie, reason)
+            await self.serve_unknown_epoch(envelope, cookie, reason)
 
     def open_flow(self, envelope: Envelope) -> None:
         """Give a new flow its cookie: nothing was dispatched."""
@@ -209,7 +209,7 @@
             return
         table = self.epochs.find(cookie.epoch)
         if table is None:
-            await self.serve_foreign(envelope, cookie)
+            await self.serve_unknown_epoch(envelope, cookie)
         else:
             await self.serve_held_epoch(envelope, cookie, table)
 
@@ -322,7 +322,7 @@
         fresh = self.cookies.issue(cookie.flow_id, envelope.caller)
         self.finish(envelope, refusal(failure, cookie=fresh))
 
-    async def serve_foreign(
+    async def serve_unknown_epoch(
         self,
         envelope: Envelope,
         cookie: Cookie,
