--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -258,7 +258,7 @@
         ):
             answer = await self.cancellations.run(
                 key,
-                partial(self.attempt, envelope, cookie),
+                partial(self.try_dispatch, envelope, cookie),
             )
         self.settle(table, key, answer)
         if (
@@ -360,7 +360,7 @@
             fresh = self.cookies.issue(cookie.flow_id, envelope.caller)
             self.finish(envelope, refusal(failure, cookie=fresh))
 
-    async def attempt(self, envelope: Envelope, cookie: Cookie) -> Answer:
+    async def try_dispatch(self, envelope: Envelope, cookie: Cookie) -> Answer:
         """Dispatch one request, or say why not and when to come back."""
         fresh = self.cookies.issue(cookie.flow_id, envelope.caller)
         try:
