--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -168,7 +168,7 @@
     def open_flow(self, envelope: Envelope) -> None:
         """Give a new flow its cookie: nothing was dispatched."""
         if self.successor is not None:
-            self.pass_on(envelope, upstream=self.upstream.name)
+            self.forward_to_successor(envelope, upstream=self.upstream.name)
             return
         try:
             if self.admission.reroute_new_flow(envelope, self.upstream):
@@ -232,7 +232,7 @@
             self.answer_copy(envelope, claim)
             return
         if self.successor is not None:
-            self.pass_on(envelope)
+            self.forward_to_successor(envelope)
             return
         if table.sealed:
             self.refuse_sealed(envelope, cookie)
@@ -334,7 +334,7 @@
         here; any other is told so at once, with a cookie for new requests.
         """
         if self.successor is not None:
-            self.pass_on(envelope)
+            self.forward_to_successor(envelope)
             return
         current = self.epochs.current
         age = cookie.age(self.clock.now())
@@ -407,7 +407,9 @@
         )
         return self.transfers.answers.first_block(flow_id, request, answer)
 
-    def pass_on(self, envelope: Envelope, *, upstream: str = '') -> None:
+    def forward_to_successor(
+        self, envelope: Envelope, *, upstream: str = ''
+    ) -> None:
         """Send a request to the heir, or keep it until the heir can take it."""
         if self.successor is None:
             return
@@ -444,7 +446,7 @@
         waiting = self.waiting
         self.waiting = []
         for envelope in waiting:
-            self.pass_on(envelope)
+            self.forward_to_successor(envelope)
 
     def retire(self) -> None:
         """Seal every epoch: nobody takes over, and nothing runs any more."""
