--- a/burdocksill/ownership/handover.py
+++ b/burdocksill/ownership/handover.py
@@ -119,7 +119,7 @@
     async def run(self) -> None:
         """Send until the heir has everything or is given up."""
         self.transfer = self.rng.randbytes(TRANSFER_BYTES)
-        self.owned.hand_over_to(self.successor)
+        self.owned.begin_handover(self.successor)
         self.owned.on_settled = self.send_settled
         # Most requests end at once; what is over before the table leaves
         # cannot load the upstream together with the heir's requests.
--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -430,7 +430,7 @@
         elif len(self.waiting) < WAITING_LIMIT:
             self.waiting.append(envelope)
 
-    def hand_over_to(self, successor: Member) -> None:
+    def begin_handover(self, successor: Member) -> None:
         """Dispatch nothing new from here on, whatever becomes of the heir."""
         self.successor = successor
         self.state = OwnershipState.HANDING_OVER
