--- a/burdocksill/ownership/handover.py
+++ b/burdocksill/ownership/handover.py
@@ -135,7 +135,7 @@
                 last_progress = trio.current_time()
             if trio.current_time() - last_progress > SILENCE_SECONDS:
                 break
-        self.owned.handed_over(acknowledged=not self.missing)
+        self.owned.finish_handover(acknowledged=not self.missing)
         await self.finish_late()
 
     async def send_round(self) -> None:
--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -436,7 +436,7 @@
         self.state = OwnershipState.HANDING_OVER
         self.ready.set()
 
-    def handed_over(self, *, acknowledged: bool) -> None:
+    def finish_handover(self, *, acknowledged: bool) -> None:
         """Let the requests that waited go to the heir."""
         if acknowledged:
             self.state = OwnershipState.HANDED_OVER
