--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -454,7 +454,7 @@
         self.state = OwnershipState.RETIRED
         self.ready.set()
 
-    def reopen(self) -> None:
+    def reopen_epoch(self) -> None:
         """Start a fresh epoch once a full window has room again."""
         sealed = self.epochs.current is None and not self.epochs.full
         if self.state is OwnershipState.SERVING and sealed:
--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -308,7 +308,7 @@
         now = trio.current_time()
         for owned in self.everything():
             owned.epochs.forget(now)
-            owned.reopen()
+            owned.reopen_epoch()
             owned.feeds.move_when_leaving()
         for key, tables in list(self.inherited.items()):
             self.inherited[key] = [
