--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -174,7 +174,7 @@
             if self.admission.reroute_new_flow(envelope, self.upstream):
                 return
         except RequestFailedError as failure:
-            self.finish(envelope, refusal(failure))
+            self.send_answer(envelope, refusal(failure))
             return
         flow_id = self.rng.randbytes(FLOW_ID_BYTES)
         self.admission.flows.open(flow_id, trio.current_time())
@@ -194,7 +194,7 @@
         )
         self.counters.add('flows_opened', service=self.document.service)
         cookie = self.cookies.issue(flow_id, envelope.caller)
-        self.finish(envelope, refusal(failure, cookie=cookie))
+        self.send_answer(envelope, refusal(failure, cookie=cookie))
 
     async def serve(self, envelope: Envelope, cookie: Cookie) -> None:
         """Answer a request whose cookie names this upstream."""
@@ -271,7 +271,7 @@
             )
         ):
             return
-        self.finish(envelope, answer)
+        self.send_answer(envelope, answer)
 
     def claim(
         self,
@@ -303,14 +303,14 @@
             return
         if claim.answer is not None:
             self.counters.add('duplicates_answered')
-            self.finish(envelope, claim.answer)
+            self.send_answer(envelope, claim.answer)
             return
         failure = RequestFailedError(
             verdict=Verdict.NOT_RUN,
             reason=Reason.TOKEN_REUSED,
             message='this token stands for another request; use a new one',
         )
-        self.finish(envelope, refusal(failure))
+        self.send_answer(envelope, refusal(failure))
 
     def refuse_sealed(self, envelope: Envelope, cookie: Cookie) -> None:
         """Say "not run" under an epoch that never dispatches again."""
@@ -320,7 +320,7 @@
             reason = Reason.DOMAIN_OUT
         failure = RequestFailedError(verdict=Verdict.NOT_RUN, reason=reason)
         fresh = self.cookies.issue(cookie.flow_id, envelope.caller)
-        self.finish(envelope, refusal(failure, cookie=fresh))
+        self.send_answer(envelope, refusal(failure, cookie=fresh))
 
     async def serve_unknown_epoch(
         self,
@@ -358,7 +358,7 @@
                 message='the owner that knew this request is gone',
             )
             fresh = self.cookies.issue(cookie.flow_id, envelope.caller)
-            self.finish(envelope, refusal(failure, cookie=fresh))
+            self.send_answer(envelope, refusal(failure, cookie=fresh))
 
     async def try_dispatch(self, envelope: Envelope, cookie: Cookie) -> Answer:
         """Dispatch one request, or say why not and when to come back."""
@@ -420,7 +420,7 @@
                 verdict=self.unknown_epoch_policy.verdict(),
                 reason=Reason.OWNER_LOST,
             )
-            self.finish(envelope, refusal(failure))
+            self.send_answer(envelope, refusal(failure))
         elif self.state is OwnershipState.HANDED_OVER or upstream:
             self.link.relay(
                 envelope,
@@ -460,7 +460,7 @@
         if self.state is OwnershipState.SERVING and sealed:
             self.epochs.open()
 
-    def finish(self, envelope: Envelope, answer: Answer) -> None:
+    def send_answer(self, envelope: Envelope, answer: Answer) -> None:
         """Count an answer and send it with the hops it took."""
         if envelope.may_have_run_elsewhere:
             answer = doubted(answer, self.unknown_epoch_policy.verdict())
