--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -178,9 +178,9 @@
             return
         flow_id = self.rng.randbytes(FLOW_ID_BYTES)
         self.admission.flows.open(flow_id, trio.current_time())
-        self.offer_cookie(envelope, flow_id, Reason.COOKIE_NEEDED)
+        self.refuse_with_cookie(envelope, flow_id, Reason.COOKIE_NEEDED)
 
-    def offer_cookie(
+    def refuse_with_cookie(
         self,
         envelope: Envelope,
         flow_id: bytes,
@@ -339,7 +339,9 @@
         current = self.epochs.current
         age = cookie.age(self.clock.now())
         if age is CookieAge.FORGOTTEN:
-            self.offer_cookie(envelope, cookie.flow_id, Reason.COOKIE_EXPIRED)
+            self.refuse_with_cookie(
+                envelope, cookie.flow_id, Reason.COOKIE_EXPIRED
+            )
         elif current is not None and self.unknown_epoch_policy.may_run(
             envelope.request
         ):
