--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -229,7 +229,7 @@
         if claim.state is ClaimState.RUNNING and envelope.request.cancels:
             self.cancellations.cancel(key)
         if claim.state is not ClaimState.FRESH:
-            self.answer_copy(envelope, claim)
+            self.answer_duplicate(envelope, claim)
             return
         if self.successor is not None:
             self.forward_to_successor(envelope)
@@ -295,7 +295,7 @@
         if self.on_settled is not None:
             self.on_settled(table.epoch, key, answer)
 
-    def answer_copy(self, envelope: Envelope, claim: Claim) -> None:
+    def answer_duplicate(self, envelope: Envelope, claim: Claim) -> None:
         """Answer a copy of a request as its first one was answered."""
         if claim.state is ClaimState.RUNNING:
             # The answer goes out when the first copy is done.
