--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -122,7 +122,7 @@
     ready: trio.Event = attrs.field(factory=trio.Event)
     successor: Member | None = None
     # Operators took the failure domain out.
-    given_up: bool = False
+    domain_out: bool = False
     waiting: list[Envelope] = attrs.field(factory=list)
     cancellations: Cancellations = attrs.field(factory=Cancellations)
     progress: InFlightRequests = attrs.field(factory=InFlightRequests)
@@ -316,7 +316,7 @@
         """Say "not run" under an epoch that never dispatches again."""
         full = self.epochs.current is None and self.epochs.full
         reason = Reason.WINDOW_FULL if full else Reason.EPOCH_CLOSED
-        if self.given_up:
+        if self.domain_out:
             reason = Reason.DOMAIN_OUT
         failure = RequestFailedError(verdict=Verdict.NOT_RUN, reason=reason)
         fresh = self.cookies.issue(cookie.flow_id, envelope.caller)
@@ -370,7 +370,7 @@
         except RequestFailedError as failure:
             if failure.reason in START_AFRESH:
                 fresh = b''
-            if self.given_up:
+            if self.domain_out:
                 # The verdict stays as it was proved; the cookie leads here.
                 fresh = b''
                 failure = RequestFailedError(
--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -326,6 +326,6 @@
     Operators took the failure domain out: what is in progress is given up
     with an honest verdict instead of holding the domain.
     """
-    owned.given_up = True
+    owned.domain_out = True
     owned.retire()
     owned.scope.cancel()
