--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -230,7 +230,7 @@
         owned = self.owned.pop(key)
         self.released.setdefault(key, []).append(owned)
         if self.store.is_out(owned.upstream.domain):
-            give_up(owned)
+            close_for_domain_out(owned)
             return
         successor = self.successor_of(owned)
         if successor is None:
@@ -320,7 +320,7 @@
             ]
 
 
-def give_up(owned: OwnedUpstream) -> None:
+def close_for_domain_out(owned: OwnedUpstream) -> None:
     """Dispatch nothing more and close the connection at once.
 
     Operators took the failure domain out: what is in progress is given up
