--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -123,7 +123,7 @@
     successor: Member | None = None
     # Operators took the failure domain out.
     domain_out: bool = False
-    waiting: list[Envelope] = attrs.field(factory=list)
+    awaiting_handover: list[Envelope] = attrs.field(factory=list)
     cancellations: Cancellations = attrs.field(factory=Cancellations)
     progress: InFlightRequests = attrs.field(factory=InFlightRequests)
     # Called with epoch, key and answer of each request that ends here.
@@ -429,8 +429,8 @@
                 self.successor.peer_address,
                 upstream=upstream,
             )
-        elif len(self.waiting) < WAITING_LIMIT:
-            self.waiting.append(envelope)
+        elif len(self.awaiting_handover) < WAITING_LIMIT:
+            self.awaiting_handover.append(envelope)
 
     def begin_handover(self, successor: Member) -> None:
         """Dispatch nothing new from here on, whatever becomes of the heir."""
@@ -445,9 +445,9 @@
         else:
             self.state = OwnershipState.SUCCESSOR_LOST
         self.feeds.end_all(Reason.STOPPING, keeps_flow=acknowledged)
-        waiting = self.waiting
-        self.waiting = []
-        for envelope in waiting:
+        awaiting_handover = self.awaiting_handover
+        self.awaiting_handover = []
+        for envelope in awaiting_handover:
             self.forward_to_successor(envelope)
 
     def retire(self) -> None:
