--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -52,7 +52,7 @@
 
 # After these a flow asks for a new place: another VM may own the upstream by
 # now, or the upstream leaves.
-START_AFRESH: Final = frozenset(
+NEW_FLOW_REASONS: Final = frozenset(
     (Reason.OWNER_FENCED, Reason.UPSTREAM_LEAVING),
 )
 OVERLOADED: Final = refusal(
@@ -368,7 +368,7 @@
         try:
             answer = await self.dispatch(envelope, cookie)
         except RequestFailedError as failure:
-            if failure.reason in START_AFRESH:
+            if failure.reason in NEW_FLOW_REASONS:
                 fresh = b''
             if self.domain_out:
                 # The verdict stays as it was proved; the cookie leads here.
