--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -45,7 +45,7 @@
 from burdocksill.upstreams.protocols import UpstreamClient
 
 # A new owner waits this long for what the former one hands over.
-READY_SECONDS: Final = 4.0
+READY_TIMEOUT_SECONDS: Final = 4.0
 # Requests that wait for the heir's acknowledgement; more are repeated by
 # their callers.
 WAITING_LIMIT: Final = 1000
@@ -156,7 +156,7 @@
         # Almost every request finds the owner ready, and a scope to wait in
         # costs more than its claim.
         if not self.ready.is_set():
-            with trio.move_on_after(READY_SECONDS):
+            with trio.move_on_after(READY_TIMEOUT_SECONDS):
                 await self.ready.wait()
         if cookie is None:
             self.open_flow(envelope)
@@ -201,7 +201,7 @@
         # Almost every request finds the owner ready, and a scope to wait in
         # costs more than its claim.
         if not self.ready.is_set():
-            with trio.move_on_after(READY_SECONDS):
+            with trio.move_on_after(READY_TIMEOUT_SECONDS):
                 await self.ready.wait()
         if self.local_requests.answer(
             envelope, cookie, has_successor=bool(self.successor)
