--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -48,7 +48,7 @@
 READY_TIMEOUT_SECONDS: Final = 4.0
 # Requests that wait for the heir's acknowledgement; more are repeated by
 # their callers.
-WAITING_LIMIT: Final = 1000
+MAX_AWAITING_HANDOVER: Final = 1000
 
 # After these a flow asks for a new place: another VM may own the upstream by
 # now, or the upstream leaves.
@@ -429,7 +429,7 @@
                 self.successor.peer_address,
                 upstream=upstream,
             )
-        elif len(self.awaiting_handover) < WAITING_LIMIT:
+        elif len(self.awaiting_handover) < MAX_AWAITING_HANDOVER:
             self.awaiting_handover.append(envelope)
 
     def begin_handover(self, successor: Member) -> None:
