--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -157,7 +157,7 @@
         )
         with self.tracing.next_hop('relayed', message.traceparent):
             if message.upstream:
-                self.enter(envelope, message.upstream)
+                self.accept_flow(envelope, message.upstream)
             else:
                 self.route(envelope)
 
@@ -210,7 +210,7 @@
             placement.owner,
         )
         if placement.owner.tag == self.members.local_member.tag:
-            self.enter(envelope, placement.upstream.name)
+            self.accept_flow(envelope, placement.upstream.name)
             return
         self.relay(
             envelope,
@@ -324,7 +324,7 @@
             message='the owner that knew this request is gone',
         )
 
-    def enter(self, envelope: Envelope, upstream: str) -> None:
+    def accept_flow(self, envelope: Envelope, upstream: str) -> None:
         """Take a flow that was placed at an upstream owned here."""
         service = envelope.request.service
         owned = self.owners.find(service, name_tag(upstream))
@@ -337,7 +337,7 @@
         else:
             reason = self.exits.reason(service, cookie)
             checked = verify(envelope, cookie)
-            self.spawn(envelope, owned.enter, checked, cookie, reason)
+            self.spawn(envelope, owned.accept_flow, checked, cookie, reason)
 
     def pass_to_owner(
         self,
--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -146,7 +146,7 @@
         self.state = OwnershipState.SERVING
         self.ready.set()
 
-    async def enter(
+    async def accept_flow(
         self,
         envelope: Envelope,
         cookie: Cookie | None,
