--- a/burdocksill/ownership/epochs.py
+++ b/burdocksill/ownership/epochs.py
@@ -30,7 +30,7 @@
     sealed: bool = False
     expires_at: float | None = None
 
-    def expired(self, now: float) -> bool:
+    def is_expired(self, now: float) -> bool:
         """Return True when no cookie leads here any more."""
         return self.expires_at is not None and self.expires_at < now
 
@@ -93,5 +93,5 @@
         """Drop what no cookie leads to any more; reopen when there is room."""
         for table in list(self.tables.values()):
             table.window.forget(now)
-            if table.expired(now):
+            if table.is_expired(now):
                 self.tables.pop(table.epoch)
--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -312,7 +312,7 @@
             owned.feeds.move_when_leaving()
         for key, tables in list(self.inherited.items()):
             self.inherited[key] = [
-                table for table in tables if not table.expired(now)
+                table for table in tables if not table.is_expired(now)
             ]
         for key, released in list(self.released.items()):
             self.released[key] = [
