--- a/burdocksill/ownership/epochs.py
+++ b/burdocksill/ownership/epochs.py
@@ -89,9 +89,9 @@
             self.seal_all(now)
         return self.current is None
 
-    def forget(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop what no cookie leads to any more; reopen when there is room."""
         for table in list(self.tables.values()):
-            table.window.forget(now)
+            table.window.drop_expired(now)
             if table.is_expired(now):
                 self.tables.pop(table.epoch)
--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -100,7 +100,7 @@
         self.store.listeners.append(self.reconcile)
         while True:
             self.reconcile()
-            self.forget()
+            self.drop_expired()
             await trio.sleep(UPKEEP_SECONDS)
 
     def hints(self) -> tuple[UpstreamHint, ...]:
@@ -303,11 +303,11 @@
             found.extend(released)
         return found
 
-    def forget(self) -> None:
+    def drop_expired(self) -> None:
         """Drop expired tokens and epochs, and what holds none any more."""
         now = trio.current_time()
         for owned in self.everything():
-            owned.epochs.forget(now)
+            owned.epochs.drop_expired(now)
             owned.reopen_epoch()
             owned.feeds.move_when_leaving()
         for key, tables in list(self.inherited.items()):
--- a/burdocksill/requests/window.py
+++ b/burdocksill/requests/window.py
@@ -83,7 +83,7 @@
     def settle(self, key: RequestKey, answer: Answer, *, now: float) -> None:
         """Keep a request's final answer, refusals included."""
 
-    def forget(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop what nobody can ask for any more."""
 
     def entries(self) -> Iterator[tuple[RequestKey, WindowEntry]]:
@@ -157,7 +157,7 @@
         expires_at = now + ANSWER_RETENTION_SECONDS
         self.kept.append(KeptAnswer(expires_at=expires_at, key=key))
 
-    def forget(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop what nobody can ask for any more."""
         while self.kept and self.kept[0].expires_at < now:
             entry = self.known.get(self.kept.popleft().key)
@@ -205,7 +205,7 @@
     def settle(self, key: RequestKey, answer: Answer, *, now: float) -> None:
         """Keep nothing."""
 
-    def forget(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Have nothing to drop."""
 
     def entries(self) -> Iterator[tuple[RequestKey, WindowEntry]]:
