--- a/burdocksill/ownership/epochs.py
+++ b/burdocksill/ownership/epochs.py
@@ -69,14 +69,14 @@
         self.tables[table.epoch] = table
 
     @property
-    def remembered(self) -> int:
+    def token_count(self) -> int:
         """Return how many tokens are remembered under all epochs."""
         return sum(len(table.window) for table in self.tables.values())
 
     @property
     def full(self) -> bool:
         """Return True when no further token can be remembered."""
-        return self.remembered >= self.limit
+        return self.token_count >= self.limit
 
     def seal_when_full(self, now: float) -> bool:
         """Seal everything when memory is at its limit.
