--- a/burdocksill/ownership/handover.py
+++ b/burdocksill/ownership/handover.py
@@ -42,7 +42,7 @@
 SILENCE_SECONDS: Final = 2.0
 
 
-def remembered(owned: OwnedUpstream) -> Iterator[HandoverEntry]:
+def handover_entries(owned: OwnedUpstream) -> Iterator[HandoverEntry]:
     """Yield every remembered request of an upstream."""
     now = trio.current_time()
     for table in owned.epochs.tables.values():
@@ -85,7 +85,7 @@
         )
         for table in owned.epochs.tables.values()
     )
-    groups = group(remembered(owned))
+    groups = group(handover_entries(owned))
     return [
         HandoverPart(
             service=owned.document.service,
