--- a/burdocksill/ownership/epochs.py
+++ b/burdocksill/ownership/epochs.py
@@ -78,7 +78,7 @@
         """Return True when no further token can be remembered."""
         return self.token_count >= self.limit
 
-    def seal_when_full(self, now: float) -> bool:
+    def seal_if_full(self, now: float) -> bool:
         """Seal everything when memory is at its limit.
 
         A refusal that is not remembered could be dispatched later, when a
--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -281,7 +281,7 @@
     ) -> Claim:
         """Claim a request, or only look at it where nothing is dispatched."""
         now = trio.current_time()
-        self.epochs.seal_when_full(now)
+        self.epochs.seal_if_full(now)
         digest = request_digest(envelope.request)
         if table.sealed or self.successor is not None:
             return table.window.find(key, digest)
