--- a/burdocksill/ownership/epochs.py
+++ b/burdocksill/ownership/epochs.py
@@ -74,7 +74,7 @@
         return sum(len(table.window) for table in self.tables.values())
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Return True when no further token can be remembered."""
         return self.token_count >= self.limit
 
@@ -85,7 +85,7 @@
         delayed copy of it arrives. Under a sealed epoch nothing is dispatched
         any more, so such refusals need no memory.
         """
-        if self.full:
+        if self.is_full:
             self.seal_all(now)
         return self.current is None
 
--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -314,7 +314,7 @@
 
     def refuse_sealed(self, envelope: Envelope, cookie: Cookie) -> None:
         """Say "not run" under an epoch that never dispatches again."""
-        full = self.epochs.current is None and self.epochs.full
+        full = self.epochs.current is None and self.epochs.is_full
         reason = Reason.WINDOW_FULL if full else Reason.EPOCH_CLOSED
         if self.domain_out:
             reason = Reason.DOMAIN_OUT
@@ -458,7 +458,7 @@
 
     def reopen_epoch(self) -> None:
         """Start a fresh epoch once a full window has room again."""
-        sealed = self.epochs.current is None and not self.epochs.full
+        sealed = self.epochs.current is None and not self.epochs.is_full
         if self.state is OwnershipState.SERVING and sealed:
             self.epochs.open()
 
