--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -169,7 +169,7 @@
         channel.handlers.update(
             {
                 RelayRequest: self.router.take_relayed,
-                HandoverRequest: exchange.take_request,
+                HandoverRequest: exchange.handle_request,
                 HandoverNone: exchange.take_none,
                 HandoverPart: exchange.take_part,
                 HandoverAck: exchange.take_ack,
--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -47,7 +47,7 @@
     table: OwnerTable
     receivers: dict[bytes, HandoverReceiver] = attrs.field(factory=dict)
 
-    def take_request(self, opened: VerifiedMessage, peer: Address) -> None:
+    def handle_request(self, opened: VerifiedMessage, peer: Address) -> None:
         """Hand over to the member that says it is the owner now."""
         request = opened.message
         if not isinstance(request, HandoverRequest):
