--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -170,7 +170,7 @@
             {
                 RelayRequest: self.router.take_relayed,
                 HandoverRequest: exchange.handle_request,
-                HandoverNone: exchange.take_none,
+                HandoverNone: exchange.handle_none,
                 HandoverPart: exchange.take_part,
                 HandoverAck: exchange.take_ack,
                 HandoverSettled: exchange.take_settled,
--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -77,7 +77,7 @@
             for sender in self.table.senders
         )
 
-    def take_none(self, opened: VerifiedMessage, peer: Address) -> None:
+    def handle_none(self, opened: VerifiedMessage, peer: Address) -> None:
         """Serve at once: the former owner holds nothing."""
         message = opened.message
         if not isinstance(message, HandoverNone):
