--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -171,7 +171,7 @@
                 RelayRequest: self.router.take_relayed,
                 HandoverRequest: exchange.handle_request,
                 HandoverNone: exchange.handle_none,
-                HandoverPart: exchange.take_part,
+                HandoverPart: exchange.handle_part,
                 HandoverAck: exchange.take_ack,
                 HandoverSettled: exchange.take_settled,
                 HandoverSettledAck: exchange.take_settled_ack,
--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -86,7 +86,7 @@
         if owned is not None and owned.state is OwnershipState.TAKING:
             self.table.start(owned)
 
-    def take_part(self, opened: VerifiedMessage, peer: Address) -> None:
+    def handle_part(self, opened: VerifiedMessage, peer: Address) -> None:
         """Gather a part; with the last one its epochs are held here."""
         part = opened.message
         if not isinstance(part, HandoverPart):
