--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -172,7 +172,7 @@
                 HandoverRequest: exchange.handle_request,
                 HandoverNone: exchange.handle_none,
                 HandoverPart: exchange.handle_part,
-                HandoverAck: exchange.take_ack,
+                HandoverAck: exchange.handle_ack,
                 HandoverSettled: exchange.take_settled,
                 HandoverSettledAck: exchange.take_settled_ack,
             },
--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -143,14 +143,14 @@
                 if entry.elsewhere and entry.answer is None:
                     table.window.settle(key, refusal(failure), now=now)
 
-    def take_ack(self, opened: VerifiedMessage, peer: Address) -> None:
+    def handle_ack(self, opened: VerifiedMessage, peer: Address) -> None:
         """Pass an acknowledgement to its transfer."""
         ack = opened.message
         if not isinstance(ack, HandoverAck):
             return
         for sender in self.table.senders:
             if sender.transfer == ack.transfer:
-                sender.take_ack(ack)
+                sender.handle_ack(ack)
 
     def take_settled(self, opened: VerifiedMessage, peer: Address) -> None:
         """Remember the answer of a request that ran at the former owner."""
--- a/burdocksill/ownership/handover.py
+++ b/burdocksill/ownership/handover.py
@@ -146,7 +146,7 @@
         with trio.move_on_after(REPEAT_SECONDS):
             await self.acknowledged.wait()
 
-    def take_ack(self, ack: HandoverAck) -> None:
+    def handle_ack(self, ack: HandoverAck) -> None:
         """Note that the heir has a part."""
         self.missing.pop(ack.part, None)
         if not self.missing:
