--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -173,7 +173,7 @@
                 HandoverNone: exchange.handle_none,
                 HandoverPart: exchange.handle_part,
                 HandoverAck: exchange.handle_ack,
-                HandoverSettled: exchange.take_settled,
+                HandoverSettled: exchange.handle_settled,
                 HandoverSettledAck: exchange.take_settled_ack,
             },
         )
--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -152,7 +152,7 @@
             if sender.transfer == ack.transfer:
                 sender.handle_ack(ack)
 
-    def take_settled(self, opened: VerifiedMessage, peer: Address) -> None:
+    def handle_settled(self, opened: VerifiedMessage, peer: Address) -> None:
         """Remember the answer of a request that ran at the former owner."""
         message = opened.message
         if not isinstance(message, HandoverSettled):
