--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -174,7 +174,7 @@
                 HandoverPart: exchange.handle_part,
                 HandoverAck: exchange.handle_ack,
                 HandoverSettled: exchange.handle_settled,
-                HandoverSettledAck: exchange.take_settled_ack,
+                HandoverSettledAck: exchange.handle_settled_ack,
             },
         )
 
--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -175,10 +175,12 @@
             peer,
         )
 
-    def take_settled_ack(self, opened: VerifiedMessage, peer: Address) -> None:
+    def handle_settled_ack(
+        self, opened: VerifiedMessage, peer: Address
+    ) -> None:
         """Pass the acknowledgement of a late answer to its transfer."""
         ack = opened.message
         if not isinstance(ack, HandoverSettledAck):
             return
         for sender in self.table.senders:
-            sender.take_settled_ack(ack.key)
+            sender.handle_settled_ack(ack.key)
--- a/burdocksill/ownership/handover.py
+++ b/burdocksill/ownership/handover.py
@@ -173,7 +173,7 @@
         self.late[key] = settled
         self.peers.send(settled, self.successor.peer_address)
 
-    def take_settled_ack(self, key: bytes) -> None:
+    def handle_settled_ack(self, key: bytes) -> None:
         """Note that the heir has an answer."""
         self.late.pop(RequestKey(key), None)
 
