--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -25,7 +25,7 @@
 from burdocksill.requests.window import RequestKey
 
 
-def key_of(service: str, upstream: str) -> OwnedKey:
+def owned_key(service: str, upstream: str) -> OwnedKey:
     """Return the key of an upstream that a message names."""
     return OwnedKey(service=service, upstream_tag=name_tag(upstream))
 
@@ -52,7 +52,7 @@
         request = opened.message
         if not isinstance(request, HandoverRequest):
             return
-        key = key_of(request.service, request.upstream)
+        key = owned_key(request.service, request.upstream)
         owned = self.table.owned.get(key)
         successor = self.table.members.find(opened.sender_tag)
         if successor is None or self.is_handing_over(key, successor):
@@ -109,7 +109,7 @@
         tables: tuple[EpochTable, ...],
     ) -> None:
         """Hold the epochs of a transfer, as owner or as future owner."""
-        key = key_of(part.service, part.upstream)
+        key = owned_key(part.service, part.upstream)
         owned = self.table.owned.get(key)
         if owned is None:
             self.table.inherited.setdefault(key, []).extend(tables)
