--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -30,7 +30,7 @@
     return OwnedKey(service=service, upstream_tag=name_tag(upstream))
 
 
-def still_running(tables: tuple[EpochTable, ...]) -> list[bytes]:
+def running_keys(tables: tuple[EpochTable, ...]) -> list[bytes]:
     """Return the requests that the former owner still has in progress."""
     return [
         key
@@ -117,7 +117,7 @@
         for table in tables:
             owned.epochs.inherit(table)
         owned.admission.resume_from_handover(
-            running=still_running(tables),
+            running=running_keys(tables),
             seconds=owned.document.deadline_seconds,
             limit=part.limit,
             instance=part.instance,
