--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -124,9 +124,9 @@
         )
         if owned.state is OwnershipState.TAKING:
             self.table.start(owned)
-        self.table.nursery.start_soon(self.settle_lost, owned, tables)
+        self.table.nursery.start_soon(self.settle_unanswered, owned, tables)
 
-    async def settle_lost(
+    async def settle_unanswered(
         self,
         owned: OwnedUpstream,
         tables: tuple[EpochTable, ...],
