--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -95,7 +95,7 @@
         if receiver is None:
             receiver = HandoverReceiver(make_window=self.table.make_window)
             self.receivers[part.transfer] = receiver
-        tables = receiver.take(part)
+        tables = receiver.add_part(part)
         self.table.peers.send(
             HandoverAck(transfer=part.transfer, part=part.part),
             peer,
--- a/burdocksill/ownership/handover.py
+++ b/burdocksill/ownership/handover.py
@@ -195,7 +195,7 @@
     parts: dict[int, HandoverPart] = attrs.field(factory=dict)
     complete: bool = False
 
-    def take(self, part: HandoverPart) -> tuple[EpochTable, ...] | None:
+    def add_part(self, part: HandoverPart) -> tuple[EpochTable, ...] | None:
         """Return the epochs once all parts are there, and only then."""
         if self.complete:
             return None
