--- a/burdocksill/ownership/handover.py
+++ b/burdocksill/ownership/handover.py
@@ -114,7 +114,9 @@
     missing: dict[int, HandoverPart] = attrs.field(factory=dict)
     acknowledged: trio.Event = attrs.field(factory=trio.Event)
     # Answers that the heir has not acknowledged yet, by request.
-    late: dict[RequestKey, HandoverSettled] = attrs.field(factory=dict)
+    unacknowledged: dict[RequestKey, HandoverSettled] = attrs.field(
+        factory=dict
+    )
 
     async def run(self) -> None:
         """Send until the heir has everything or is given up."""
@@ -170,20 +172,20 @@
                 answer=answer,
             ),
         )
-        self.late[key] = settled
+        self.unacknowledged[key] = settled
         self.peers.send(settled, self.successor.peer_address)
 
     def handle_settled_ack(self, key: bytes) -> None:
         """Note that the heir has an answer."""
-        self.late.pop(RequestKey(key), None)
+        self.unacknowledged.pop(RequestKey(key), None)
 
     async def finish_late(self) -> None:
         """Repeat late answers until the heir has them or is given up."""
         await self.owned.progress.wait_idle()
         with trio.move_on_after(SILENCE_SECONDS):
-            while self.late:  # noqa: ASYNC110
+            while self.unacknowledged:  # noqa: ASYNC110
                 await trio.sleep(REPEAT_SECONDS)
-                for settled in self.late.values():
+                for settled in self.unacknowledged.values():
                     self.peers.send(settled, self.successor.peer_address)
 
 
