--- a/burdocksill/ownership/handover.py
+++ b/burdocksill/ownership/handover.py
@@ -138,7 +138,7 @@
             if trio.current_time() - last_progress > SILENCE_SECONDS:
                 break
         self.owned.finish_handover(acknowledged=not self.missing)
-        await self.finish_late()
+        await self.resend_unacknowledged()
 
     async def send_round(self) -> None:
         """Send the first missing parts and wait for acknowledgements."""
@@ -179,7 +179,7 @@
         """Note that the heir has an answer."""
         self.unacknowledged.pop(RequestKey(key), None)
 
-    async def finish_late(self) -> None:
+    async def resend_unacknowledged(self) -> None:
         """Repeat late answers until the heir has them or is given up."""
         await self.owned.progress.wait_idle()
         with trio.move_on_after(SILENCE_SECONDS):
