--- a/burdocksill/ownership/handover.py
+++ b/burdocksill/ownership/handover.py
@@ -111,7 +111,7 @@
     peers: PeerSender
     rng: Random
     transfer: bytes = b''
-    missing: dict[int, HandoverPart] = attrs.field(factory=dict)
+    pending_parts: dict[int, HandoverPart] = attrs.field(factory=dict)
     acknowledged: trio.Event = attrs.field(factory=trio.Event)
     # Answers that the heir has not acknowledged yet, by request.
     unacknowledged: dict[RequestKey, HandoverSettled] = attrs.field(
@@ -128,30 +128,30 @@
         with trio.move_on_after(DRAIN_SECONDS):
             await self.owned.progress.wait_idle()
         parts = build_parts(self.owned, self.transfer)
-        self.missing = {part.part: part for part in parts}
+        self.pending_parts = {part.part: part for part in parts}
         last_progress = trio.current_time()
-        while self.missing:
-            before = len(self.missing)
+        while self.pending_parts:
+            before = len(self.pending_parts)
             await self.send_round()
-            if len(self.missing) < before:
+            if len(self.pending_parts) < before:
                 last_progress = trio.current_time()
             if trio.current_time() - last_progress > SILENCE_SECONDS:
                 break
-        self.owned.finish_handover(acknowledged=not self.missing)
+        self.owned.finish_handover(acknowledged=not self.pending_parts)
         await self.resend_unacknowledged()
 
     async def send_round(self) -> None:
         """Send the first missing parts and wait for acknowledgements."""
         self.acknowledged = trio.Event()
-        for part in list(self.missing.values())[:PARTS_IN_FLIGHT]:
+        for part in list(self.pending_parts.values())[:PARTS_IN_FLIGHT]:
             self.peers.send(part, self.successor.peer_address)
         with trio.move_on_after(REPEAT_SECONDS):
             await self.acknowledged.wait()
 
     def handle_ack(self, ack: HandoverAck) -> None:
         """Note that the heir has a part."""
-        self.missing.pop(ack.part, None)
-        if not self.missing:
+        self.pending_parts.pop(ack.part, None)
+        if not self.pending_parts:
             self.acknowledged.set()
 
     def send_settled(
