--- a/burdocksill/ownership/handover.py
+++ b/burdocksill/ownership/handover.py
@@ -36,7 +36,7 @@
 PART_BYTES: Final = 1100
 ENTRY_BYTES: Final = 90
 PARTS_IN_FLIGHT: Final = 32
-REPEAT_SECONDS: Final = 0.05
+RESEND_SECONDS: Final = 0.05
 DRAIN_SECONDS: Final = 0.5
 # An heir that acknowledges nothing for this long is given up.
 SILENCE_SECONDS: Final = 2.0
@@ -145,7 +145,7 @@
         self.acknowledged = trio.Event()
         for part in list(self.pending_parts.values())[:PARTS_IN_FLIGHT]:
             self.peers.send(part, self.successor.peer_address)
-        with trio.move_on_after(REPEAT_SECONDS):
+        with trio.move_on_after(RESEND_SECONDS):
             await self.acknowledged.wait()
 
     def handle_ack(self, ack: HandoverAck) -> None:
@@ -184,7 +184,7 @@
         await self.owned.progress.wait_idle()
         with trio.move_on_after(SILENCE_SECONDS):
             while self.unacknowledged:  # noqa: ASYNC110
-                await trio.sleep(REPEAT_SECONDS)
+                await trio.sleep(RESEND_SECONDS)
                 for settled in self.unacknowledged.values():
                     self.peers.send(settled, self.successor.peer_address)
 
