--- a/burdocksill/ownership/handover.py
+++ b/burdocksill/ownership/handover.py
@@ -39,7 +39,7 @@
 RESEND_SECONDS: Final = 0.05
 DRAIN_SECONDS: Final = 0.5
 # An heir that acknowledges nothing for this long is given up.
-SILENCE_SECONDS: Final = 2.0
+ACK_TIMEOUT_SECONDS: Final = 2.0
 
 
 def handover_entries(owned: OwnedUpstream) -> Iterator[HandoverEntry]:
@@ -135,7 +135,7 @@
             await self.send_round()
             if len(self.pending_parts) < before:
                 last_progress = trio.current_time()
-            if trio.current_time() - last_progress > SILENCE_SECONDS:
+            if trio.current_time() - last_progress > ACK_TIMEOUT_SECONDS:
                 break
         self.owned.finish_handover(acknowledged=not self.pending_parts)
         await self.resend_unacknowledged()
@@ -182,7 +182,7 @@
     async def resend_unacknowledged(self) -> None:
         """Repeat late answers until the heir has them or is given up."""
         await self.owned.progress.wait_idle()
-        with trio.move_on_after(SILENCE_SECONDS):
+        with trio.move_on_after(ACK_TIMEOUT_SECONDS):
             while self.unacknowledged:  # noqa: ASYNC110
                 await trio.sleep(RESEND_SECONDS)
                 for settled in self.unacknowledged.values():
