--- a/burdocksill/ownership/handover.py
+++ b/burdocksill/ownership/handover.py
@@ -56,7 +56,9 @@
             )
 
 
-def group(entries: Iterator[HandoverEntry]) -> list[tuple[HandoverEntry, ...]]:
+def group_entries(
+    entries: Iterator[HandoverEntry],
+) -> list[tuple[HandoverEntry, ...]]:
     """Group entries into parts that fit a datagram; at least one part."""
     groups: list[tuple[HandoverEntry, ...]] = []
     gathered: list[HandoverEntry] = []
@@ -85,7 +87,7 @@
         )
         for table in owned.epochs.tables.values()
     )
-    groups = group(handover_entries(owned))
+    groups = group_entries(handover_entries(owned))
     return [
         HandoverPart(
             service=owned.document.service,
