--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Wanted:
+class OwnershipTarget:
     """Name an upstream that this VM should own now."""
 
     document: ServiceDocument
@@ -153,11 +153,11 @@
             )
         owned.start()
 
-    def wanted(self) -> dict[OwnedKey, Wanted]:
+    def wanted(self) -> dict[OwnedKey, OwnershipTarget]:
         """Return the upstreams for which this VM is the owner."""
         local_member = self.members.local_member
         live = self.members.live(local_member.domain)
-        found: dict[OwnedKey, Wanted] = {}
+        found: dict[OwnedKey, OwnershipTarget] = {}
         if self.store.is_out(local_member.domain):
             return found
         for document in self.store.services.values():
@@ -171,10 +171,12 @@
                         service=document.service,
                         upstream_tag=name_tag(upstream.name),
                     )
-                    found[key] = Wanted(document=document, upstream=upstream)
+                    found[key] = OwnershipTarget(
+                        document=document, upstream=upstream
+                    )
         return found
 
-    def take(self, key: OwnedKey, target: Wanted) -> None:
+    def take(self, key: OwnedKey, target: OwnershipTarget) -> None:
         """Own an upstream, with what its former owner hands over."""
         owned = self.build(target.document, target.upstream)
         self.owned[key] = owned
