--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -63,7 +63,7 @@
                 upstream=request.upstream,
             )
             self.table.peers.send(none, peer)
-        elif key not in self.table.wanted():
+        elif key not in self.table.assigned():
             self.table.release(key)
         # Where both believe that they own it, this VM keeps silent until
         # their views of the members agree; the other asks again.
--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -115,10 +115,10 @@
         if self.stopping:
             return
         self.notice_losses()
-        wanted = self.wanted()
-        for key in [known for known in self.owned if known not in wanted]:
+        assigned = self.assigned()
+        for key in [known for known in self.owned if known not in assigned]:
             self.release(key)
-        for key, target in wanted.items():
+        for key, target in assigned.items():
             held = self.owned.get(key)
             moved = target.upstream.address
             if held is not None and held.upstream.address != moved:
@@ -153,7 +153,7 @@
             )
         owned.start()
 
-    def wanted(self) -> dict[OwnedKey, OwnershipTarget]:
+    def assigned(self) -> dict[OwnedKey, OwnershipTarget]:
         """Return the upstreams for which this VM is the owner."""
         local_member = self.members.local_member
         live = self.members.live(local_member.domain)
