--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -295,10 +295,10 @@
                     owned.retire()
                 else:
                     nursery.start_soon(self.hand_over, owned, successor)
-            for owned in self.everything():
+            for owned in self.all_upstreams():
                 nursery.start_soon(owned.progress.wait_idle)
 
-    def everything(self) -> list[OwnedUpstream]:
+    def all_upstreams(self) -> list[OwnedUpstream]:
         """Return owned and released upstreams."""
         found = list(self.owned.values())
         for released in self.released.values():
@@ -308,7 +308,7 @@
     def drop_expired(self) -> None:
         """Drop expired tokens and epochs, and what holds none any more."""
         now = trio.current_time()
-        for owned in self.everything():
+        for owned in self.all_upstreams():
             owned.epochs.drop_expired(now)
             owned.reopen_epoch()
             owned.feeds.move_when_leaving()
