--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -75,7 +75,7 @@
     # What a former owner said before this VM noticed that it is the heir.
     inherited: dict[OwnedKey, list[EpochTable]] = attrs.field(factory=dict)
     stopping: bool = False
-    known_live: set[bytes] = attrs.field(factory=set)
+    previous_live: set[bytes] = attrs.field(factory=set)
     lost_at: float = -math.inf
 
     def find(
@@ -135,9 +135,9 @@
         domain = self.members.local_member.domain
         live = {member.tag for member in self.members.live(domain)}
         leaving = {member.tag for member in self.members.leaving(domain)}
-        if self.known_live - live - leaving:
+        if self.previous_live - live - leaving:
             self.lost_at = trio.current_time()
-        self.known_live = live
+        self.previous_live = live
 
     def start(self, owned: OwnedUpstream) -> None:
         """Serve an upstream, after a silence where its owner was lost.
