--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -114,7 +114,7 @@
         """Take what has become ours and release what has not."""
         if self.stopping:
             return
-        self.notice_losses()
+        self.detect_lost_members()
         assigned = self.assigned()
         for key in [known for known in self.owned if known not in assigned]:
             self.release(key)
@@ -130,7 +130,7 @@
                 held.document = target.document
                 held.upstream = target.upstream
 
-    def notice_losses(self) -> None:
+    def detect_lost_members(self) -> None:
         """Remember when a member of the domain was lost without a leave."""
         domain = self.members.local_member.domain
         live = {member.tag for member in self.members.live(domain)}
