--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -76,7 +76,7 @@
     inherited: dict[OwnedKey, list[EpochTable]] = attrs.field(factory=dict)
     stopping: bool = False
     previous_live: set[bytes] = attrs.field(factory=set)
-    lost_at: float = -math.inf
+    last_loss_at: float = -math.inf
 
     def find(
         self,
@@ -136,7 +136,7 @@
         live = {member.tag for member in self.members.live(domain)}
         leaving = {member.tag for member in self.members.leaving(domain)}
         if self.previous_live - live - leaving:
-            self.lost_at = trio.current_time()
+            self.last_loss_at = trio.current_time()
         self.previous_live = live
 
     def start(self, owned: OwnedUpstream) -> None:
@@ -145,7 +145,7 @@
         A lost owner may only be cut off. Until its fence closes it loads the
         upstream still, and both together could be more than it bears.
         """
-        since = trio.current_time() - self.lost_at
+        since = trio.current_time() - self.last_loss_at
         if since < LOSS_SILENCE_SECONDS:
             owned.admission.limiter.start_cold(
                 cause='takeover',
