--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -29,7 +29,7 @@
 UPKEEP_SECONDS: Final = 1.0
 # Longer than a VM that is cut off needs to fence itself, counted from when
 # others take it for dead.
-LOSS_SILENCE_SECONDS: Final = 3.0
+LOSS_QUIET_SECONDS: Final = 3.0
 
 logger = logging.getLogger(__name__)
 
@@ -146,10 +146,10 @@
         upstream still, and both together could be more than it bears.
         """
         since = trio.current_time() - self.last_loss_at
-        if since < LOSS_SILENCE_SECONDS:
+        if since < LOSS_QUIET_SECONDS:
             owned.admission.limiter.start_cold(
                 cause='takeover',
-                silence_seconds=LOSS_SILENCE_SECONDS - since,
+                silence_seconds=LOSS_QUIET_SECONDS - since,
             )
         owned.start()
 
