--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -125,7 +125,7 @@
                 self.release(key)
                 held = None
             if held is None:
-                self.take(key, target)
+                self.acquire(key, target)
             else:
                 held.document = target.document
                 held.upstream = target.upstream
@@ -176,7 +176,7 @@
                     )
         return found
 
-    def take(self, key: OwnedKey, target: OwnershipTarget) -> None:
+    def acquire(self, key: OwnedKey, target: OwnershipTarget) -> None:
         """Own an upstream, with what its former owner hands over."""
         owned = self.build(target.document, target.upstream)
         self.owned[key] = owned
