--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -191,7 +191,7 @@
         lost: its epochs are closed, and only "may have run" can be said of
         their requests.
         """
-        former = self.former_owner(owned)
+        former = self.previous_owner(owned)
         request = HandoverRequest(
             service=owned.document.service,
             upstream=owned.upstream.name,
@@ -213,7 +213,7 @@
             },
         )
 
-    def former_owner(self, owned: OwnedUpstream) -> Member | None:
+    def previous_owner(self, owned: OwnedUpstream) -> Member | None:
         """Return the member that owned an upstream before this VM."""
         local_member = self.members.local_member
         others = [
