--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -24,7 +24,7 @@
 from burdocksill.upstreams.messages import UpstreamHint
 
 # How often a new owner asks the former one for what it holds, and how long.
-ASK_SECONDS: Final = 0.2
+REQUEST_INTERVAL_SECONDS: Final = 0.2
 TAKEOVER_SECONDS: Final = 3.0
 UPKEEP_SECONDS: Final = 1.0
 # Longer than a VM that is cut off needs to fence itself, counted from when
@@ -199,7 +199,7 @@
         with trio.move_on_after(TAKEOVER_SECONDS):
             while former is not None and not owned.ready.is_set():
                 self.peers.send(request, former.peer_address)
-                with trio.move_on_after(ASK_SECONDS):
+                with trio.move_on_after(REQUEST_INTERVAL_SECONDS):
                     await owned.ready.wait()
         for table in self.inherited.pop(key, []):
             owned.epochs.inherit(table)
