--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -26,7 +26,7 @@
 # How often a new owner asks the former one for what it holds, and how long.
 REQUEST_INTERVAL_SECONDS: Final = 0.2
 TAKEOVER_SECONDS: Final = 3.0
-UPKEEP_SECONDS: Final = 1.0
+MAINTENANCE_INTERVAL_SECONDS: Final = 1.0
 # Longer than a VM that is cut off needs to fence itself, counted from when
 # others take it for dead.
 LOSS_QUIET_SECONDS: Final = 3.0
@@ -101,7 +101,7 @@
         while True:
             self.reconcile()
             self.drop_expired()
-            await trio.sleep(UPKEEP_SECONDS)
+            await trio.sleep(MAINTENANCE_INTERVAL_SECONDS)
 
     def hints(self) -> tuple[UpstreamHint, ...]:
         """Return what others may know of the upstreams owned here."""
