--- a/burdocksill/ownership/succession.py
+++ b/burdocksill/ownership/succession.py
@@ -12,7 +12,7 @@
 class SuccessorPolicy(Protocol):
     """Choose the heir of an upstream."""
 
-    def choose(self, members: Sequence[Member], subject: str) -> Member | None:
+    def choose(self, members: Sequence[Member], hash_key: str) -> Member | None:
         """Return the heir, None when the epochs are sealed instead."""
 
 
@@ -24,15 +24,15 @@
     know its requests, and is told "may have run" in a change that was planned.
     """
 
-    def choose(self, members: Sequence[Member], subject: str) -> Member | None:
+    def choose(self, members: Sequence[Member], hash_key: str) -> Member | None:
         """Return the member with the highest score."""
-        return owner_of(members, subject)
+        return owner_of(members, hash_key)
 
 
 @attrs.define(kw_only=True)
 class NoSuccessorPolicy:
     """Hand over to nobody: the naive baseline of the control runs."""
 
-    def choose(self, members: Sequence[Member], subject: str) -> Member | None:
+    def choose(self, members: Sequence[Member], hash_key: str) -> Member | None:
         """Return the owner of an empty domain: nobody."""
-        return owner_of((), subject)
+        return owner_of((), hash_key)
--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -50,7 +50,7 @@
     upstream: Upstream
 
 
-def subject(service: str, upstream: str) -> str:
+def hash_key(service: str, upstream: str) -> str:
     """Return what rendezvous hashing places among members."""
     return f'{service}/{upstream}'
 
@@ -164,7 +164,7 @@
             for upstream in document.upstreams:
                 if upstream.domain != local_member.domain:
                     continue
-                name = subject(document.service, upstream.name)
+                name = hash_key(document.service, upstream.name)
                 owner = owner_of(live, name)
                 if owner is not None and owner.tag == local_member.tag:
                     key = OwnedKey(
@@ -224,7 +224,7 @@
             )
             if member.tag != local_member.tag
         ]
-        name = subject(owned.document.service, owned.upstream.name)
+        name = hash_key(owned.document.service, owned.upstream.name)
         return owner_of(others, name)
 
     def release(self, key: OwnedKey) -> None:
@@ -254,7 +254,7 @@
             for member in self.members.live(domain)
             if member.tag != local_member.tag
         ]
-        name = subject(owned.document.service, current.name)
+        name = hash_key(owned.document.service, current.name)
         return self.successor_policy.choose(others, name)
 
     async def hand_over(self, owned: OwnedUpstream, successor: Member) -> None:
