--- a/burdocksill/ownership/fence.py
+++ b/burdocksill/ownership/fence.py
@@ -58,7 +58,7 @@
 
     def check(self) -> None:
         """Raise RequestFailedError (not run) while this VM is fenced."""
-        self.notice_pause()
+        self.detect_pause()
         recovering = trio.current_time() < self.fenced_until
         if recovering or not self.members.quorate():
             raise RequestFailedError(
@@ -68,7 +68,7 @@
                 retry_after_seconds=RECOVERY_SECONDS,
             )
 
-    def notice_pause(self) -> None:
+    def detect_pause(self) -> None:
         """Fence at once when the ticker itself has not run since a pause."""
         if trio.current_time() - self.last_tick > PAUSE_SECONDS:
             self.tick()
