--- a/burdocksill/ownership/feeds.py
+++ b/burdocksill/ownership/feeds.py
@@ -19,7 +19,7 @@
     OBSERVE_NUMBERS,
     REGISTER,
     FeedLine,
-    OpenFeed,
+    FeedState,
     decode_position,
     encode_position,
     next_observe,
@@ -67,10 +67,10 @@
         first = self.recent[0].position - 1 if self.recent else self.position
         return first is not None and position >= first
 
-    def describe(self) -> OpenFeed:
+    def describe(self) -> FeedState:
         """Write what another owner needs to go on."""
         request = self.envelope.request
-        return OpenFeed(
+        return FeedState(
             flow_id=self.flow_id,
             token=request.token,
             caller_host=self.envelope.caller.host,
@@ -100,7 +100,7 @@
     feeds: dict[RequestKey, Feed] = attrs.field(factory=dict)
     message_id: int = 0
 
-    def open_feeds(self) -> tuple[OpenFeed, ...]:
+    def open_feeds(self) -> tuple[FeedState, ...]:
         """Describe every feed whose position is known."""
         return tuple(
             feed.describe()
@@ -108,7 +108,7 @@
             if feed.position is not None
         )
 
-    def release(self) -> tuple[OpenFeed, ...]:
+    def release(self) -> tuple[FeedState, ...]:
         """End every feed without a word; the heir goes on with them."""
         described = self.open_feeds()
         for feed in self.feeds.values():
@@ -167,7 +167,7 @@
         done = Answer(code='VALID', verdict=Verdict.RAN)
         self.link.reply(envelope, done)
 
-    async def adopt(self, described: OpenFeed, hops: tuple[str, ...]) -> None:
+    async def adopt(self, described: FeedState, hops: tuple[str, ...]) -> None:
         """Go on with a feed that the former owner handed over."""
         request = CallerRequest(
             service=self.service,
--- a/burdocksill/requests/feeds.py
+++ b/burdocksill/requests/feeds.py
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class OpenFeed:
+class FeedState:
     """Hold what another owner needs to go on with a caller's feed."""
 
     flow_id: bytes
