--- a/burdocksill/ownership/feeds.py
+++ b/burdocksill/ownership/feeds.py
@@ -62,7 +62,7 @@
         """Name the feed by its flow and token."""
         return request_key(self.flow_id, self.envelope.request.token)
 
-    def covers(self, position: int) -> bool:
+    def has_lines_after(self, position: int) -> bool:
         """Return True when every line after a position is kept here."""
         first = self.recent[0].position - 1 if self.recent else self.position
         return first is not None and position >= first
@@ -208,7 +208,7 @@
             # The caller has seen no confirmation yet: it starts from here.
             wanted = feed.recent[0].position - 1 if feed.recent else None
             wanted = feed.position if wanted is None else wanted
-        if not feed.covers(wanted):
+        if not feed.has_lines_after(wanted):
             self.counters.add('feeds_read_anew', service=self.service)
             feed.position = wanted
             feed.recent.clear()
