--- a/burdocksill/ownership/feeds.py
+++ b/burdocksill/ownership/feeds.py
@@ -67,7 +67,7 @@
         first = self.recent[0].position - 1 if self.recent else self.position
         return first is not None and position >= first
 
-    def describe(self) -> FeedState:
+    def export_state(self) -> FeedState:
         """Write what another owner needs to go on."""
         request = self.envelope.request
         return FeedState(
@@ -103,7 +103,7 @@
     def open_feeds(self) -> tuple[FeedState, ...]:
         """Describe every feed whose position is known."""
         return tuple(
-            feed.describe()
+            feed.export_state()
             for feed in self.feeds.values()
             if feed.position is not None
         )
