--- a/burdocksill/ownership/feeds.py
+++ b/burdocksill/ownership/feeds.py
@@ -110,10 +110,10 @@
 
     def release(self) -> tuple[FeedState, ...]:
         """End every feed without a word; the heir goes on with them."""
-        described = self.open_feeds()
+        state = self.open_feeds()
         for feed in self.feeds.values():
             feed.scope.cancel()
-        return described
+        return state
 
     def end_all(self, reason: Reason, *, keeps_flow: bool = False) -> None:
         """Tell every caller to open its feed again, or elsewhere.
@@ -167,22 +167,22 @@
         done = Answer(code='VALID', verdict=Verdict.RAN)
         self.link.reply(envelope, done)
 
-    async def adopt(self, described: FeedState, hops: tuple[str, ...]) -> None:
+    async def adopt(self, state: FeedState, hops: tuple[str, ...]) -> None:
         """Go on with a feed that the former owner handed over."""
         request = CallerRequest(
             service=self.service,
             method='GET',
-            token=described.token,
+            token=state.token,
             message_id=0,
             confirmable=False,
-            path=described.path,
-            query=described.query,
+            path=state.path,
+            query=state.query,
             observe=REGISTER,
-            wants_hops=described.wants_hops,
+            wants_hops=state.wants_hops,
         )
         envelope = Envelope(
             request=request,
-            caller=Address(described.caller_host, described.caller_port),
+            caller=Address(state.caller_host, state.caller_port),
             hops=hops,
             # The former owner sent there before; a stranger would not have
             # kept the feed alive by its registrations.
@@ -190,9 +190,9 @@
         )
         feed = Feed(
             envelope=envelope,
-            flow_id=described.flow_id,
-            position=described.position,
-            observe=described.observe,
+            flow_id=state.flow_id,
+            position=state.position,
+            observe=state.observe,
         )
         if feed.key not in self.feeds:
             await self.run(feed)
--- a/tests/steps/requests_feeds.py
+++ b/tests/steps/requests_feeds.py
@@ -120,11 +120,11 @@
     moves = []
     for table in tables(world):
         heir = next(known for known in tables(world) if known is not table)
-        moves += [(heir, described) for described in table.release()]
+        moves += [(heir, state) for state in table.release()]
     assert len(moves) == len(NAMES)
-    for heir, described in moves:
+    for heir, state in moves:
         nursery = world.require_nursery()
-        nursery.start_soon(heir.adopt, described, ('former-owner',))
+        nursery.start_soon(heir.adopt, state, ('former-owner',))
 
 
 async def end_feeds(world: World) -> None:
