--- a/burdocksill/ownership/feeds.py
+++ b/burdocksill/ownership/feeds.py
@@ -108,7 +108,7 @@
             if feed.position is not None
         )
 
-    def release(self) -> tuple[FeedState, ...]:
+    def stop_all(self) -> tuple[FeedState, ...]:
         """End every feed without a word; the heir goes on with them."""
         state = self.open_feeds()
         for feed in self.feeds.values():
--- a/tests/steps/requests_feeds.py
+++ b/tests/steps/requests_feeds.py
@@ -120,7 +120,7 @@
     moves = []
     for table in tables(world):
         heir = next(known for known in tables(world) if known is not table)
-        moves += [(heir, state) for state in table.release()]
+        moves += [(heir, state) for state in table.stop_all()]
     assert len(moves) == len(NAMES)
     for heir, state in moves:
         nursery = world.require_nursery()
