--- a/burdocksill/ownership/feeds.py
+++ b/burdocksill/ownership/feeds.py
@@ -167,7 +167,7 @@
         done = Answer(code='VALID', verdict=Verdict.RAN)
         self.link.reply(envelope, done)
 
-    async def adopt(self, state: FeedState, hops: tuple[str, ...]) -> None:
+    async def resume(self, state: FeedState, hops: tuple[str, ...]) -> None:
         """Go on with a feed that the former owner handed over."""
         request = CallerRequest(
             service=self.service,
--- a/tests/steps/requests_feeds.py
+++ b/tests/steps/requests_feeds.py
@@ -124,7 +124,7 @@
     assert len(moves) == len(NAMES)
     for heir, state in moves:
         nursery = world.require_nursery()
-        nursery.start_soon(heir.adopt, state, ('former-owner',))
+        nursery.start_soon(heir.resume, state, ('former-owner',))
 
 
 async def end_feeds(world: World) -> None:
