--- a/burdocksill/ownership/feeds.py
+++ b/burdocksill/ownership/feeds.py
@@ -143,7 +143,7 @@
             self.deregister(known, envelope)
             return
         if known is not None:
-            self.keep(known, envelope)
+            self.renew(known, envelope)
             return
         if self.leaving():
             # Without a cookie: the caller opens a flow at another upstream.
@@ -197,7 +197,7 @@
         if feed.key not in self.feeds:
             await self.run(feed)
 
-    def keep(self, feed: Feed, envelope: Envelope) -> None:
+    def renew(self, feed: Feed, envelope: Envelope) -> None:
         """Extend a feed's lease and send again what its caller lacks."""
         feed.envelope = envelope
         feed.scope.deadline = trio.current_time() + LEASE_SECONDS
