--- a/burdocksill/ownership/feeds.py
+++ b/burdocksill/ownership/feeds.py
@@ -259,9 +259,9 @@
         request = attrs.evolve(request, feed_after=feed.position)
         async with aclosing(self.client.feed(request)) as lines:
             async for raw in lines:
-                self.take(feed, read_line(raw))
+                self.handle_line(feed, read_line(raw))
 
-    def take(self, feed: Feed, line: FeedLine) -> None:
+    def handle_line(self, feed: Feed, line: FeedLine) -> None:
         """Pass one line on, in the order of positions."""
         if not line.payload:
             feed.position = max(line.position, feed.position or 0)
