--- a/burdocksill/ownership/feeds.py
+++ b/burdocksill/ownership/feeds.py
@@ -214,7 +214,7 @@
             feed.recent.clear()
             feed.stream.cancel()
             return
-        self.confirm(feed, envelope, wanted)
+        self.confirm_position(feed, envelope, wanted)
         for line in feed.recent:
             if line.position > wanted:
                 self.send(feed, line)
@@ -265,13 +265,15 @@
         """Pass one line on, in the order of positions."""
         if not line.payload:
             feed.position = max(line.position, feed.position or 0)
-            self.confirm(feed, feed.envelope, feed.position)
+            self.confirm_position(feed, feed.envelope, feed.position)
         elif feed.position is None or line.position > feed.position:
             feed.position = line.position
             feed.recent.append(line)
             self.send(feed, line)
 
-    def confirm(self, feed: Feed, envelope: Envelope, position: int) -> None:
+    def confirm_position(
+        self, feed: Feed, envelope: Envelope, position: int
+    ) -> None:
         """Tell the caller where its feed goes on, with a fresh cookie."""
         feed.cookie_at = 0
         answer = self.notification(feed, position)
