--- a/burdocksill/ownership/feeds.py
+++ b/burdocksill/ownership/feeds.py
@@ -130,7 +130,7 @@
             self.link.reply(self.next_envelope(feed), answer)
             feed.scope.cancel()
 
-    def move_when_leaving(self) -> None:
+    def end_if_leaving(self) -> None:
         """Let callers open their feeds elsewhere while these still run."""
         if self.feeds and self.leaving():
             self.end_all(Reason.UPSTREAM_LEAVING)
--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -311,7 +311,7 @@
         for owned in self.all_upstreams():
             owned.epochs.drop_expired(now)
             owned.reopen_epoch()
-            owned.feeds.move_when_leaving()
+            owned.feeds.end_if_leaving()
         for key, tables in list(self.inherited.items()):
             self.inherited[key] = [
                 table for table in tables if not table.is_expired(now)
