--- a/burdocksill/ownership/feeds.py
+++ b/burdocksill/ownership/feeds.py
@@ -96,7 +96,7 @@
     counters: Counters
     link: CallerLink
     # Tells whether the upstream gets no new work.
-    leaving: Callable[[], bool]
+    is_leaving: Callable[[], bool]
     feeds: dict[RequestKey, Feed] = attrs.field(factory=dict)
     message_id: int = 0
 
@@ -132,7 +132,7 @@
 
     def end_if_leaving(self) -> None:
         """Let callers open their feeds elsewhere while these still run."""
-        if self.feeds and self.leaving():
+        if self.feeds and self.is_leaving():
             self.end_all(Reason.UPSTREAM_LEAVING)
 
     async def serve(self, envelope: Envelope, cookie: Cookie) -> None:
@@ -145,7 +145,7 @@
         if known is not None:
             self.renew(known, envelope)
             return
-        if self.leaving():
+        if self.is_leaving():
             # Without a cookie: the caller opens a flow at another upstream.
             failure = RequestFailedError(
                 verdict=Verdict.NOT_RUN, reason=Reason.UPSTREAM_LEAVING
--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -95,7 +95,7 @@
         clock=owned.clock,
         counters=owned.counters,
         link=owned.link,
-        leaving=lambda: owned.admission.leaving(owned.upstream),
+        is_leaving=lambda: owned.admission.leaving(owned.upstream),
     )
 
 
