--- a/burdocksill/ownership/feeds.py
+++ b/burdocksill/ownership/feeds.py
@@ -37,7 +37,7 @@
 # An idle flow keeps a valid cookie by the notifications of its feed.
 COOKIE_SECONDS: Final = 30.0
 # Lines kept to send again; an older gap is read from the upstream anew.
-RECENT_LINES: Final = 32
+MAX_RECENT_LINES: Final = 32
 MESSAGE_IDS: Final = 65536
 
 
@@ -51,7 +51,7 @@
     observe: int = 0
     cookie_at: float = 0
     recent: deque[FeedLine] = attrs.field(
-        factory=lambda: deque(maxlen=RECENT_LINES),
+        factory=lambda: deque(maxlen=MAX_RECENT_LINES),
     )
     scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
     # Cancelled when the feed has to be read anew from its position.
