--- a/burdocksill/ownership/feeds.py
+++ b/burdocksill/ownership/feeds.py
@@ -49,7 +49,7 @@
     flow_id: bytes
     position: int | None
     observe: int = 0
-    cookie_at: float = 0
+    cookie_sent_at: float = 0
     recent: deque[FeedLine] = attrs.field(
         factory=lambda: deque(maxlen=MAX_RECENT_LINES),
     )
@@ -275,7 +275,7 @@
         self, feed: Feed, envelope: Envelope, position: int
     ) -> None:
         """Tell the caller where its feed goes on, with a fresh cookie."""
-        feed.cookie_at = 0
+        feed.cookie_sent_at = 0
         answer = self.notification(feed, position)
         self.link.reply(envelope, attrs.evolve(answer, code='VALID'))
 
@@ -290,9 +290,12 @@
         """Make a notification without a payload, with a cookie if due."""
         now = trio.current_time()
         cookie = b''
-        if not feed.cookie_at or now - feed.cookie_at > COOKIE_SECONDS:
+        if (
+            not feed.cookie_sent_at
+            or now - feed.cookie_sent_at > COOKIE_SECONDS
+        ):
             cookie = self.cookies.issue(feed.flow_id, feed.envelope.caller)
-            feed.cookie_at = now
+            feed.cookie_sent_at = now
         feed.observe = next_observe(feed.observe, self.clock.now())
         return Answer(
             code='CONTENT',
