--- a/burdocksill/ownership/feeds.py
+++ b/burdocksill/ownership/feeds.py
@@ -35,7 +35,7 @@
 # A caller that does not register again for this long is dead or gone.
 LEASE_SECONDS: Final = 70.0
 # An idle flow keeps a valid cookie by the notifications of its feed.
-COOKIE_SECONDS: Final = 30.0
+COOKIE_REFRESH_SECONDS: Final = 30.0
 # Lines kept to send again; an older gap is read from the upstream anew.
 MAX_RECENT_LINES: Final = 32
 MESSAGE_IDS: Final = 65536
@@ -292,7 +292,7 @@
         cookie = b''
         if (
             not feed.cookie_sent_at
-            or now - feed.cookie_sent_at > COOKIE_SECONDS
+            or now - feed.cookie_sent_at > COOKIE_REFRESH_SECONDS
         ):
             cookie = self.cookies.issue(feed.flow_id, feed.envelope.caller)
             feed.cookie_sent_at = now
