--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -9,9 +9,9 @@
 
 from burdocksill.documents.models import ServiceDocument
 from burdocksill.documents.store import DocumentStore
-from burdocksill.entry.containment import Containment
 from burdocksill.entry.detours import Detours
 from burdocksill.entry.domains import LONGEST_PATH, DomainExit
+from burdocksill.entry.error_handling import Containment
 from burdocksill.entry.refusing import Refuser
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.flows.cookie import (
