--- a/burdocksill/entry/error_handling.py
+++ b/burdocksill/entry/error_handling.py
@@ -16,7 +16,7 @@
 
 
 @attrs.define(kw_only=True)
-class Containment:
+class RequestErrorHandler:
     """Run a request's task and answer for it when it fails unexpectedly.
 
     A programming error in one request's task would go up through the nursery
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -11,7 +11,7 @@
 from burdocksill.documents.store import DocumentStore
 from burdocksill.entry.detours import Detours
 from burdocksill.entry.domains import LONGEST_PATH, DomainExit
-from burdocksill.entry.error_handling import Containment
+from burdocksill.entry.error_handling import RequestErrorHandler
 from burdocksill.entry.refusing import Refuser
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.flows.cookie import (
@@ -91,7 +91,7 @@
         takes_self=True,
     )
     exits: DomainExit = attrs.field(init=False)
-    containment: Containment = attrs.field(init=False)
+    containment: RequestErrorHandler = attrs.field(init=False)
     refuser: Refuser = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -102,7 +102,7 @@
             counters=self.counters,
             reply=self.reply,
         )
-        self.containment = Containment(
+        self.containment = RequestErrorHandler(
             counters=self.counters,
             reply=self.reply,
         )
