--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -91,7 +91,7 @@
         takes_self=True,
     )
     exits: DomainExit = attrs.field(init=False)
-    containment: RequestErrorHandler = attrs.field(init=False)
+    error_handler: RequestErrorHandler = attrs.field(init=False)
     refuser: Refuser = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -102,7 +102,7 @@
             counters=self.counters,
             reply=self.reply,
         )
-        self.containment = RequestErrorHandler(
+        self.error_handler = RequestErrorHandler(
             counters=self.counters,
             reply=self.reply,
         )
@@ -274,7 +274,7 @@
     ) -> None:
         """Serve a request in a task whose faults stay with the request."""
         self.nursery.start_soon(
-            self.containment.run,
+            self.error_handler.run,
             envelope,
             partial(task, *arguments),
         )
