--- a/burdocksill/entry/error_handling.py
+++ b/burdocksill/entry/error_handling.py
@@ -39,11 +39,11 @@
         except RequestFailedError as failure:
             self.reply(envelope, refusal(failure))
         except (BurdocksillError, ArithmeticError, LookupError) as error:
-            self.answer_fault(envelope, error)
+            self.answer_error(envelope, error)
         except (AttributeError, TypeError, ValueError, RuntimeError) as error:
-            self.answer_fault(envelope, error)
+            self.answer_error(envelope, error)
 
-    def answer_fault(self, envelope: Envelope, error: Exception) -> None:
+    def answer_error(self, envelope: Envelope, error: Exception) -> None:
         """Count a fault, log its trace and answer the caller."""
         self.counters.add('request_faults')
         logger.error(
