--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -9,10 +9,10 @@
 
 from burdocksill.documents.models import ServiceDocument
 from burdocksill.documents.store import DocumentStore
-from burdocksill.entry.detours import Detours
 from burdocksill.entry.domains import LONGEST_PATH, DomainExit
 from burdocksill.entry.error_handling import RequestErrorHandler
 from burdocksill.entry.refusing import Refuser
+from burdocksill.entry.rerouting import Detours
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.flows.cookie import (
     Cookie,
