--- a/burdocksill/entry/rerouting.py
+++ b/burdocksill/entry/rerouting.py
@@ -15,7 +15,7 @@
 
 
 @attrs.define(kw_only=True)
-class Detours:
+class DelayedRerouting:
     """Hold packets that went in a circle for a moment.
 
     While members join or leave, two VMs can take each other for the owner.
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -12,7 +12,7 @@
 from burdocksill.entry.domains import LONGEST_PATH, DomainExit
 from burdocksill.entry.error_handling import RequestErrorHandler
 from burdocksill.entry.refusing import Refuser
-from burdocksill.entry.rerouting import Detours
+from burdocksill.entry.rerouting import DelayedRerouting
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.flows.cookie import (
     Cookie,
@@ -77,7 +77,7 @@
     transfers: Transfers
     counters: Counters
     nursery: trio.Nursery
-    detours: Detours = attrs.field(factory=Detours)
+    detours: DelayedRerouting = attrs.field(factory=DelayedRerouting)
     trace_ratio: float = 0
     decisions: DecisionLog = attrs.Factory(
         lambda router: DecisionLog(clock=router.clock),
