--- a/burdocksill/entry/rerouting.py
+++ b/burdocksill/entry/rerouting.py
@@ -27,7 +27,7 @@
 
     def allow(self, envelope: Envelope) -> bool:
         """Return True while a packet may wait for the views to agree."""
-        few = envelope.detours < TIMES_PER_PACKET
+        few = envelope.reroutes < TIMES_PER_PACKET
         return few and self.waiting < LIMIT
 
     async def take(
@@ -44,6 +44,6 @@
         again = attrs.evolve(
             envelope,
             hops=envelope.hops[-1:],
-            detours=envelope.detours + 1,
+            reroutes=envelope.reroutes + 1,
         )
         route(again)
--- a/burdocksill/requests/messages.py
+++ b/burdocksill/requests/messages.py
@@ -104,4 +104,4 @@
     # Another VM held its epoch: it may have run there, whatever is done here.
     may_have_run_elsewhere: bool = False
     # How often this VM has routed the packet again.
-    detours: int = 0
+    reroutes: int = 0
