--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -77,7 +77,7 @@
     transfers: Transfers
     counters: Counters
     nursery: trio.Nursery
-    detours: DelayedRerouting = attrs.field(factory=DelayedRerouting)
+    delayed_rerouting: DelayedRerouting = attrs.field(factory=DelayedRerouting)
     trace_ratio: float = 0
     decisions: DecisionLog = attrs.Factory(
         lambda router: DecisionLog(clock=router.clock),
@@ -294,8 +294,10 @@
             self.decisions.followed(envelope, cookie, owner)
             self.relay(envelope, owner.peer_address)
             return
-        elif owner is not None and self.detours.allow(envelope):
-            self.spawn(envelope, self.detours.take, envelope, self.route)
+        elif owner is not None and self.delayed_rerouting.allow(envelope):
+            self.spawn(
+                envelope, self.delayed_rerouting.take, envelope, self.route
+            )
             return
         self.follow_elsewhere(envelope, cookie, document)
 
