--- a/burdocksill/entry/rerouting.py
+++ b/burdocksill/entry/rerouting.py
@@ -25,7 +25,7 @@
 
     waiting: int = 0
 
-    def allow(self, envelope: Envelope) -> bool:
+    def is_allowed(self, envelope: Envelope) -> bool:
         """Return True while a packet may wait for the views to agree."""
         few = envelope.reroutes < TIMES_PER_PACKET
         return few and self.waiting < LIMIT
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -294,7 +294,7 @@
             self.decisions.followed(envelope, cookie, owner)
             self.relay(envelope, owner.peer_address)
             return
-        elif owner is not None and self.delayed_rerouting.allow(envelope):
+        elif owner is not None and self.delayed_rerouting.is_allowed(envelope):
             self.spawn(
                 envelope, self.delayed_rerouting.take, envelope, self.route
             )
