--- a/burdocksill/entry/rerouting.py
+++ b/burdocksill/entry/rerouting.py
@@ -30,7 +30,7 @@
         few = envelope.reroutes < TIMES_PER_PACKET
         return few and self.waiting < LIMIT
 
-    async def take(
+    async def route_later(
         self,
         envelope: Envelope,
         route: Callable[[Envelope], None],
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -296,7 +296,10 @@
             return
         elif owner is not None and self.delayed_rerouting.is_allowed(envelope):
             self.spawn(
-                envelope, self.delayed_rerouting.take, envelope, self.route
+                envelope,
+                self.delayed_rerouting.route_later,
+                envelope,
+                self.route,
             )
             return
         self.follow_elsewhere(envelope, cookie, document)
