--- a/burdocksill/entry/rerouting.py
+++ b/burdocksill/entry/rerouting.py
@@ -11,7 +11,7 @@
 WAIT_SECONDS: Final = 0.3
 TIMES_PER_PACKET: Final = 8
 # Packets on a detour at once; more are answered without one.
-LIMIT: Final = 500
+MAX_WAITING_PACKETS: Final = 500
 
 
 @attrs.define(kw_only=True)
@@ -28,7 +28,7 @@
     def is_allowed(self, envelope: Envelope) -> bool:
         """Return True while a packet may wait for the views to agree."""
         few = envelope.reroutes < TIMES_PER_PACKET
-        return few and self.waiting < LIMIT
+        return few and self.waiting < MAX_WAITING_PACKETS
 
     async def route_later(
         self,
