--- a/burdocksill/entry/rerouting.py
+++ b/burdocksill/entry/rerouting.py
@@ -9,7 +9,7 @@
 from burdocksill.requests.messages import Envelope
 
 WAIT_SECONDS: Final = 0.3
-TIMES_PER_PACKET: Final = 8
+MAX_REROUTES: Final = 8
 # Packets on a detour at once; more are answered without one.
 MAX_WAITING_PACKETS: Final = 500
 
@@ -27,7 +27,7 @@
 
     def is_allowed(self, envelope: Envelope) -> bool:
         """Return True while a packet may wait for the views to agree."""
-        few = envelope.reroutes < TIMES_PER_PACKET
+        few = envelope.reroutes < MAX_REROUTES
         return few and self.waiting < MAX_WAITING_PACKETS
 
     async def route_later(
