--- a/burdocksill/entry/rerouting.py
+++ b/burdocksill/entry/rerouting.py
@@ -8,7 +8,7 @@
 
 from burdocksill.requests.messages import Envelope
 
-WAIT_SECONDS: Final = 0.3
+REROUTE_DELAY_SECONDS: Final = 0.3
 MAX_REROUTES: Final = 8
 # Packets on a detour at once; more are answered without one.
 MAX_WAITING_PACKETS: Final = 500
@@ -38,7 +38,7 @@
         """Wait a moment, then route the packet as if it had just come."""
         self.waiting += 1
         try:
-            await trio.sleep(WAIT_SECONDS)
+            await trio.sleep(REROUTE_DELAY_SECONDS)
         finally:
             self.waiting -= 1
         again = attrs.evolve(
