--- a/burdocksill/entry/domains.py
+++ b/burdocksill/entry/domains.py
@@ -35,7 +35,7 @@
 
 
 @attrs.define(kw_only=True)
-class DomainExit:
+class DomainEvacuation:
     """Move flows out of failure domains that operators took out."""
 
     store: DocumentStore
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -9,7 +9,7 @@
 
 from burdocksill.documents.models import ServiceDocument
 from burdocksill.documents.store import DocumentStore
-from burdocksill.entry.domains import LONGEST_PATH, DomainExit
+from burdocksill.entry.domains import LONGEST_PATH, DomainEvacuation
 from burdocksill.entry.error_handling import RequestErrorHandler
 from burdocksill.entry.refusing import Refuser
 from burdocksill.entry.rerouting import DelayedRerouting
@@ -90,7 +90,7 @@
         ),
         takes_self=True,
     )
-    exits: DomainExit = attrs.field(init=False)
+    exits: DomainEvacuation = attrs.field(init=False)
     error_handler: RequestErrorHandler = attrs.field(init=False)
     refuser: Refuser = attrs.field(init=False)
 
@@ -106,7 +106,7 @@
             counters=self.counters,
             reply=self.reply,
         )
-        self.exits = DomainExit(
+        self.exits = DomainEvacuation(
             store=self.store,
             placer=self.placer,
             unknown_epoch_policy=self.unknown_epoch_policy,
