--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -90,7 +90,7 @@
         ),
         takes_self=True,
     )
-    exits: DomainEvacuation = attrs.field(init=False)
+    evacuation: DomainEvacuation = attrs.field(init=False)
     error_handler: RequestErrorHandler = attrs.field(init=False)
     refuser: Refuser = attrs.field(init=False)
 
@@ -106,7 +106,7 @@
             counters=self.counters,
             reply=self.reply,
         )
-        self.exits = DomainEvacuation(
+        self.evacuation = DomainEvacuation(
             store=self.store,
             placer=self.placer,
             unknown_epoch_policy=self.unknown_epoch_policy,
@@ -249,7 +249,9 @@
         service = envelope.request.service
         held = self.owners.find(service, cookie.upstream_tag, cookie.epoch)
         holder = self.members.find(cookie.owner_tag)
-        visits = holder is not None and self.exits.can_visit(holder, envelope)
+        visits = holder is not None and self.evacuation.can_visit(
+            holder, envelope
+        )
         # The heir has the epoch, and the VM of the cookie the kept answers.
         keeps = visits and asks_later_block(envelope.request)
         holds = held is not None and held.epochs.find(cookie.epoch) is not None
@@ -257,8 +259,8 @@
             self.decisions.followed(envelope, cookie, self.members.local_member)
             self.spawn(envelope, held.serve, envelope, cookie)
             return
-        if self.exits.left(service, cookie):
-            self.exits.leave(envelope)
+        if self.evacuation.left(service, cookie):
+            self.evacuation.leave(envelope)
             return
         if holder is not None and visits:
             self.decisions.followed(envelope, cookie, holder)
@@ -290,7 +292,7 @@
                 self.decisions.followed(envelope, cookie, owner)
                 self.spawn(envelope, owned.serve, envelope, cookie)
                 return
-        elif owner is not None and self.exits.can_visit(owner, envelope):
+        elif owner is not None and self.evacuation.can_visit(owner, envelope):
             self.decisions.followed(envelope, cookie, owner)
             self.relay(envelope, owner.peer_address)
             return
@@ -340,7 +342,7 @@
         if cookie is None and owned.ready.is_set():
             owned.open_flow(envelope)
         else:
-            reason = self.exits.reason(service, cookie)
+            reason = self.evacuation.reason(service, cookie)
             checked = verify(envelope, cookie)
             self.spawn(envelope, owned.accept_flow, checked, cookie, reason)
 
@@ -357,7 +359,7 @@
         document = self.store.services.get(envelope.request.service)
         target = document.upstream(upstream) if document else None
         owner = self.placer.owner(envelope.request.service, target)
-        if owner is not None and self.exits.can_visit(
+        if owner is not None and self.evacuation.can_visit(
             owner,
             envelope,
             LONGEST_PATH,
@@ -365,7 +367,7 @@
             self.relay(envelope, owner.peer_address, upstream=upstream)
             return
         try:
-            self.exits.enter_elsewhere(envelope, upstream, cookie)
+            self.evacuation.enter_elsewhere(envelope, upstream, cookie)
         except RequestFailedError as failure:
             self.refuser.refuse(envelope, failure)
 
