--- a/burdocksill/entry/domains.py
+++ b/burdocksill/entry/domains.py
@@ -44,7 +44,7 @@
     place: PlaceFlow
     count: Callable[[str], None]
 
-    def left(self, service: str, cookie: Cookie) -> bool:
+    def is_evacuated(self, service: str, cookie: Cookie) -> bool:
         """Return True when a flow's upstream is in a domain that is out."""
         document = self.store.services.get(service)
         upstream = (
@@ -54,7 +54,7 @@
 
     def reason(self, service: str, cookie: Cookie | None) -> Reason:
         """Return why the holder of a flow's epoch cannot be asked."""
-        if cookie is not None and self.left(service, cookie):
+        if cookie is not None and self.is_evacuated(service, cookie):
             return Reason.DOMAIN_OUT
         return Reason.EPOCH_CLOSED
 
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -259,7 +259,7 @@
             self.decisions.followed(envelope, cookie, self.members.local_member)
             self.spawn(envelope, held.serve, envelope, cookie)
             return
-        if self.evacuation.left(service, cookie):
+        if self.evacuation.is_evacuated(service, cookie):
             self.evacuation.leave(envelope)
             return
         if holder is not None and visits:
