--- a/burdocksill/entry/domains.py
+++ b/burdocksill/entry/domains.py
@@ -74,7 +74,7 @@
         visited = member.name in envelope.hops
         return not visited and len(envelope.hops) < limit
 
-    def leave(self, envelope: Envelope) -> None:
+    def place_evacuated(self, envelope: Envelope) -> None:
         """Give a flow up whose failure domain is out, and place it anew.
 
         No packet may go there to ask, so only a holder that is this VM itself
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -260,7 +260,7 @@
             self.spawn(envelope, held.serve, envelope, cookie)
             return
         if self.evacuation.is_evacuated(service, cookie):
-            self.evacuation.leave(envelope)
+            self.evacuation.place_evacuated(envelope)
             return
         if holder is not None and visits:
             self.decisions.followed(envelope, cookie, holder)
