--- a/burdocksill/entry/domains.py
+++ b/burdocksill/entry/domains.py
@@ -58,7 +58,7 @@
             return Reason.DOMAIN_OUT
         return Reason.EPOCH_CLOSED
 
-    def can_visit(
+    def can_relay(
         self,
         member: Member,
         envelope: Envelope,
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -249,7 +249,7 @@
         service = envelope.request.service
         held = self.owners.find(service, cookie.upstream_tag, cookie.epoch)
         holder = self.members.find(cookie.owner_tag)
-        visits = holder is not None and self.evacuation.can_visit(
+        visits = holder is not None and self.evacuation.can_relay(
             holder, envelope
         )
         # The heir has the epoch, and the VM of the cookie the kept answers.
@@ -292,7 +292,7 @@
                 self.decisions.followed(envelope, cookie, owner)
                 self.spawn(envelope, owned.serve, envelope, cookie)
                 return
-        elif owner is not None and self.evacuation.can_visit(owner, envelope):
+        elif owner is not None and self.evacuation.can_relay(owner, envelope):
             self.decisions.followed(envelope, cookie, owner)
             self.relay(envelope, owner.peer_address)
             return
@@ -359,7 +359,7 @@
         document = self.store.services.get(envelope.request.service)
         target = document.upstream(upstream) if document else None
         owner = self.placer.owner(envelope.request.service, target)
-        if owner is not None and self.evacuation.can_visit(
+        if owner is not None and self.evacuation.can_relay(
             owner,
             envelope,
             LONGEST_PATH,
