--- a/burdocksill/entry/domains.py
+++ b/burdocksill/entry/domains.py
@@ -91,7 +91,7 @@
             )
         self.place(envelope, document)
 
-    def enter_elsewhere(
+    def place_at_another(
         self,
         envelope: Envelope,
         upstream: str,
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -367,7 +367,7 @@
             self.relay(envelope, owner.peer_address, upstream=upstream)
             return
         try:
-            self.evacuation.enter_elsewhere(envelope, upstream, cookie)
+            self.evacuation.place_at_another(envelope, upstream, cookie)
         except RequestFailedError as failure:
             self.refuser.refuse(envelope, failure)
 
