--- a/burdocksill/entry/domains.py
+++ b/burdocksill/entry/domains.py
@@ -16,7 +16,7 @@
 from burdocksill.requests.verdict import Reason, Verdict
 
 # Relay, former owner, heir and one more; a longer way is a loop.
-HOP_LIMIT: Final = 4
+MAX_RELAY_HOPS: Final = 4
 # A new flow is passed on at most this far: VMs and upstreams both count.
 LONGEST_PATH: Final = 9
 
@@ -62,7 +62,7 @@
         self,
         member: Member,
         envelope: Envelope,
-        limit: int = HOP_LIMIT,
+        limit: int = MAX_RELAY_HOPS,
     ) -> bool:
         """Return True for a VM in service that has not seen the packet yet.
 
