--- a/burdocksill/entry/domains.py
+++ b/burdocksill/entry/domains.py
@@ -18,7 +18,7 @@
 # Relay, former owner, heir and one more; a longer way is a loop.
 MAX_RELAY_HOPS: Final = 4
 # A new flow is passed on at most this far: VMs and upstreams both count.
-LONGEST_PATH: Final = 9
+MAX_PLACEMENT_HOPS: Final = 9
 
 
 class PlaceFlow(Protocol):
@@ -104,7 +104,7 @@
         """
         document = self.store.services.get(envelope.request.service)
         exclude = frozenset((upstream,))
-        few = len(envelope.hops) < LONGEST_PATH
+        few = len(envelope.hops) < MAX_PLACEMENT_HOPS
         if (
             document is not None
             and few
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -9,7 +9,7 @@
 
 from burdocksill.documents.models import ServiceDocument
 from burdocksill.documents.store import DocumentStore
-from burdocksill.entry.domains import LONGEST_PATH, DomainEvacuation
+from burdocksill.entry.domains import MAX_PLACEMENT_HOPS, DomainEvacuation
 from burdocksill.entry.error_handling import RequestErrorHandler
 from burdocksill.entry.refusing import Refuser
 from burdocksill.entry.rerouting import DelayedRerouting
@@ -230,7 +230,7 @@
         search in which every owner names another.
         """
         document = self.store.services.get(envelope.request.service)
-        if document is None or len(envelope.hops) >= LONGEST_PATH:
+        if document is None or len(envelope.hops) >= MAX_PLACEMENT_HOPS:
             return False
         hops = (*envelope.hops, upstream)
         placement = self.placer.place(
@@ -362,7 +362,7 @@
         if owner is not None and self.evacuation.can_relay(
             owner,
             envelope,
-            LONGEST_PATH,
+            MAX_PLACEMENT_HOPS,
         ):
             self.relay(envelope, owner.peer_address, upstream=upstream)
             return
