--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -11,7 +11,7 @@
 from burdocksill.documents.store import DocumentStore
 from burdocksill.entry.domains import MAX_PLACEMENT_HOPS, DomainEvacuation
 from burdocksill.entry.error_handling import RequestErrorHandler
-from burdocksill.entry.refusing import Refuser
+from burdocksill.entry.refusals import Refuser
 from burdocksill.entry.rerouting import DelayedRerouting
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.flows.cookie import (
