--- a/burdocksill/entry/refusals.py
+++ b/burdocksill/entry/refusals.py
@@ -18,7 +18,7 @@
 
 
 @attrs.define(kw_only=True)
-class Refuser:
+class RefusalSender:
     """Count and answer what this VM refuses itself."""
 
     store: DocumentStore
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -11,7 +11,7 @@
 from burdocksill.documents.store import DocumentStore
 from burdocksill.entry.domains import MAX_PLACEMENT_HOPS, DomainEvacuation
 from burdocksill.entry.error_handling import RequestErrorHandler
-from burdocksill.entry.refusals import Refuser
+from burdocksill.entry.refusals import RefusalSender
 from burdocksill.entry.rerouting import DelayedRerouting
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.flows.cookie import (
@@ -92,11 +92,11 @@
     )
     evacuation: DomainEvacuation = attrs.field(init=False)
     error_handler: RequestErrorHandler = attrs.field(init=False)
-    refuser: Refuser = attrs.field(init=False)
+    refuser: RefusalSender = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Prepare what works on this router's own parts."""
-        self.refuser = Refuser(
+        self.refuser = RefusalSender(
             store=self.store,
             socket=self.socket,
             counters=self.counters,
