--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -92,11 +92,11 @@
     )
     evacuation: DomainEvacuation = attrs.field(init=False)
     error_handler: RequestErrorHandler = attrs.field(init=False)
-    refuser: RefusalSender = attrs.field(init=False)
+    refusal_sender: RefusalSender = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Prepare what works on this router's own parts."""
-        self.refuser = RefusalSender(
+        self.refusal_sender = RefusalSender(
             store=self.store,
             socket=self.socket,
             counters=self.counters,
@@ -126,7 +126,7 @@
         try:
             request = decode_request(datagram.payload)
         except (MalformedDatagramError, UnsupportedRequestError) as error:
-            self.refuser.refuse_datagram(datagram, error)
+            self.refusal_sender.refuse_datagram(datagram, error)
             return
         envelope = Envelope(
             request=request,
@@ -166,7 +166,7 @@
         try:
             self.route_checked(envelope)
         except RequestFailedError as failure:
-            self.refuser.refuse(envelope, failure)
+            self.refusal_sender.refuse(envelope, failure)
         except BurdocksillError:
             self.counters.add('unroutable')
 
@@ -369,7 +369,7 @@
         try:
             self.evacuation.place_at_another(envelope, upstream, cookie)
         except RequestFailedError as failure:
-            self.refuser.refuse(envelope, failure)
+            self.refusal_sender.refuse(envelope, failure)
 
     def open_cookie(self, envelope: Envelope) -> Cookie | None:
         """Return a request's cookie, None when it has none of ours."""
