--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -118,9 +118,9 @@
         """Receive callers' datagrams until cancelled."""
         while True:
             for datagram in await self.socket.receive():
-                self.take_datagram(datagram)
+                self.handle_datagram(datagram)
 
-    def take_datagram(self, datagram: Datagram) -> None:
+    def handle_datagram(self, datagram: Datagram) -> None:
         """Read one datagram from a caller and route it."""
         self.counters.add('caller_datagrams')
         try:
