--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -168,7 +168,7 @@
         exchange = HandoverExchange(table=self.owners)
         channel.handlers.update(
             {
-                RelayRequest: self.router.take_relayed,
+                RelayRequest: self.router.handle_relayed,
                 HandoverRequest: exchange.handle_request,
                 HandoverNone: exchange.handle_none,
                 HandoverPart: exchange.handle_part,
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -137,7 +137,7 @@
         with self.tracing.first_hop('entry'):
             self.route(envelope)
 
-    def take_relayed(self, opened: VerifiedMessage, peer: Address) -> None:
+    def handle_relayed(self, opened: VerifiedMessage, peer: Address) -> None:
         """Serve a request that another VM relayed because we own it."""
         message = opened.message
         if not isinstance(message, RelayRequest):
