--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -200,9 +200,11 @@
                 verdict=Verdict.NOT_RUN,
                 reason=Reason.NO_UPSTREAM,
             )
-        self.go(envelope, placement)
+        self.forward_to_owner(envelope, placement)
 
-    def go(self, envelope: Envelope, placement: Placement) -> None:
+    def forward_to_owner(
+        self, envelope: Envelope, placement: Placement
+    ) -> None:
         """Open a flow where it was placed."""
         self.decisions.placed(
             envelope,
@@ -241,7 +243,7 @@
         if placement is None:
             return False
         moved = attrs.evolve(envelope, hops=hops, refused=True)
-        self.go(moved, placement)
+        self.forward_to_owner(moved, placement)
         return True
 
     def follow(self, envelope: Envelope, cookie: Cookie) -> None:
