--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -154,7 +154,7 @@
             counters=self.counters,
             rng=self.rng,
             leaving_rule=self.leaving_rule,
-            reroute=self.router.move,
+            reroute=self.router.reroute,
         )
         self.fence = self.components.fence(self.membership)
         self.route_messages(channel)
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -220,7 +220,7 @@
             upstream=placement.upstream.name,
         )
 
-    def move(
+    def reroute(
         self,
         envelope: Envelope,
         upstream: str,
