--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -184,7 +184,7 @@
         if cookie is None:
             self.place(envelope, document)
         else:
-            self.follow(verify(envelope, cookie), cookie)
+            self.route_by_cookie(verify(envelope, cookie), cookie)
 
     def place(
         self,
@@ -246,7 +246,7 @@
         self.forward_to_owner(moved, placement)
         return True
 
-    def follow(self, envelope: Envelope, cookie: Cookie) -> None:
+    def route_by_cookie(self, envelope: Envelope, cookie: Cookie) -> None:
         """Go to whoever holds the cookie's epoch, as far as can be known."""
         service = envelope.request.service
         held = self.owners.find(service, cookie.upstream_tag, cookie.epoch)
