--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -268,7 +268,7 @@
             self.decisions.followed(envelope, cookie, holder)
             self.relay(envelope, holder.peer_address)
             return
-        self.follow_to_owner(envelope, cookie)
+        self.route_to_current_owner(envelope, cookie)
 
     def spawn(
         self,
@@ -283,7 +283,9 @@
             partial(task, *arguments),
         )
 
-    def follow_to_owner(self, envelope: Envelope, cookie: Cookie) -> None:
+    def route_to_current_owner(
+        self, envelope: Envelope, cookie: Cookie
+    ) -> None:
         """Go to the upstream's owner of today: it may be the heir."""
         document = self.store.services[envelope.request.service]
         upstream = document.upstream_by_tag(cookie.upstream_tag)
