--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -308,9 +308,9 @@
                 self.route,
             )
             return
-        self.follow_elsewhere(envelope, cookie, document)
+        self.place_after_owner_loss(envelope, cookie, document)
 
-    def follow_elsewhere(
+    def place_after_owner_loss(
         self,
         envelope: Envelope,
         cookie: Cookie,
