--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -341,7 +341,7 @@
         owned = self.owners.find(service, name_tag(upstream))
         cookie = None if envelope.refused else self.open_cookie(envelope)
         if owned is None:
-            self.pass_to_owner(envelope, upstream, cookie)
+            self.relay_to_owner(envelope, upstream, cookie)
             return
         if cookie is None and owned.ready.is_set():
             owned.open_flow(envelope)
@@ -350,7 +350,7 @@
             checked = verify(envelope, cookie)
             self.spawn(envelope, owned.accept_flow, checked, cookie, reason)
 
-    def pass_to_owner(
+    def relay_to_owner(
         self,
         envelope: Envelope,
         upstream: str,
