--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -184,7 +184,7 @@
         if cookie is None:
             self.place(envelope, document)
         else:
-            self.route_by_cookie(verify(envelope, cookie), cookie)
+            self.route_by_cookie(mark_verified(envelope, cookie), cookie)
 
     def place(
         self,
@@ -347,7 +347,7 @@
             owned.open_flow(envelope)
         else:
             reason = self.evacuation.reason(service, cookie)
-            checked = verify(envelope, cookie)
+            checked = mark_verified(envelope, cookie)
             self.spawn(envelope, owned.accept_flow, checked, cookie, reason)
 
     def relay_to_owner(
@@ -432,7 +432,7 @@
         self.socket.send(encoded, envelope.caller)
 
 
-def verify(envelope: Envelope, cookie: Cookie | None) -> Envelope:
+def mark_verified(envelope: Envelope, cookie: Cookie | None) -> Envelope:
     """Mark a request whose cookie was given to the address it comes from."""
     if cookie is None or cookie.address_tag != address_tag(envelope.caller):
         return envelope
