--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -164,13 +164,13 @@
     def route(self, envelope: Envelope) -> None:
         """Route a request; every failure is answered at once."""
         try:
-            self.route_checked(envelope)
+            self.route_or_raise(envelope)
         except RequestFailedError as failure:
             self.refusal_sender.refuse(envelope, failure)
         except BurdocksillError:
             self.counters.add('unroutable')
 
-    def route_checked(self, envelope: Envelope) -> None:
+    def route_or_raise(self, envelope: Envelope) -> None:
         """Route a request by its cookie, or place it."""
         service = envelope.request.service
         document = self.store.services.get(service)
