--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -259,7 +259,7 @@
         holds = held is not None and held.epochs.find(cookie.epoch) is not None
         if held is not None and holds and not keeps:
             self.decisions.followed(envelope, cookie, self.members.local_member)
-            self.spawn(envelope, held.serve, envelope, cookie)
+            self.start_task(envelope, held.serve, envelope, cookie)
             return
         if self.evacuation.is_evacuated(service, cookie):
             self.evacuation.place_evacuated(envelope)
@@ -270,7 +270,7 @@
             return
         self.route_to_current_owner(envelope, cookie)
 
-    def spawn(
+    def start_task(
         self,
         envelope: Envelope,
         task: Callable[..., Awaitable[None]],
@@ -294,14 +294,14 @@
             owned = self.owners.find(document.service, cookie.upstream_tag)
             if owned is not None:
                 self.decisions.followed(envelope, cookie, owner)
-                self.spawn(envelope, owned.serve, envelope, cookie)
+                self.start_task(envelope, owned.serve, envelope, cookie)
                 return
         elif owner is not None and self.evacuation.can_relay(owner, envelope):
             self.decisions.followed(envelope, cookie, owner)
             self.relay(envelope, owner.peer_address)
             return
         elif owner is not None and self.delayed_rerouting.is_allowed(envelope):
-            self.spawn(
+            self.start_task(
                 envelope,
                 self.delayed_rerouting.route_later,
                 envelope,
@@ -348,7 +348,9 @@
         else:
             reason = self.evacuation.reason(service, cookie)
             checked = mark_verified(envelope, cookie)
-            self.spawn(envelope, owned.accept_flow, checked, cookie, reason)
+            self.start_task(
+                envelope, owned.accept_flow, checked, cookie, reason
+            )
 
     def relay_to_owner(
         self,
