--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -57,7 +57,7 @@
 from burdocksill.requests.messages import Answer, Envelope
 from burdocksill.requests.verdict import Reason, Verdict
 
-AMPLIFICATION: Final = 3
+MAX_AMPLIFICATION: Final = 3
 
 
 @attrs.define(kw_only=True)
@@ -424,7 +424,7 @@
         """
         self.decisions.answered(envelope, answer)
         encoded = encode_answer(envelope.request, answer)
-        most = AMPLIFICATION * len(envelope.raw)
+        most = MAX_AMPLIFICATION * len(envelope.raw)
         if not envelope.verified and len(encoded) > most:
             self.counters.add('answers_shortened')
             encoded = encode_short_answer(envelope.request, answer)
