--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -157,13 +157,13 @@
             reroute=self.router.reroute,
         )
         self.fence = self.components.fence(self.membership)
-        self.route_messages(channel)
+        self.register_handlers(channel)
         nursery.start_soon(self.fence.run)
         nursery.start_soon(self.owners.run)
         nursery.start_soon(self.router.run)
         self.serving.set()
 
-    def route_messages(self, channel: PeerChannel) -> None:
+    def register_handlers(self, channel: PeerChannel) -> None:
         """Name the handler of each kind of message from other VMs."""
         exchange = HandoverExchange(table=self.owners)
         channel.handlers.update(
