--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -40,7 +40,7 @@
 from burdocksill.upstreams.protocols import IdentityVerifier, Limiter
 
 
-def pause_fence(members: MemberView) -> Fence:
+def make_fence(members: MemberView) -> Fence:
     """Make the fence of a node."""
     return PauseFence(members=members)
 
@@ -97,7 +97,7 @@
     )
     successor_policy: Callable[[], SuccessorPolicy] = RendezvousSuccessorPolicy
     shutdown_policy: Callable[[], ShutdownPolicy] = GracefulShutdown
-    fence: Callable[[MemberView], Fence] = pause_fence
+    fence: Callable[[MemberView], Fence] = make_fence
     limiter: Callable[[Upstream, Random], Limiter] = adaptive_limiter
     leaving_rule: Callable[[DocumentStore], LeavingRule] = make_leaving_rule
     retry_budget: Callable[[], RetryBudget] = RatioRetryBudget
