--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -45,7 +45,7 @@
     return PauseFence(members=members)
 
 
-def adaptive_limiter(upstream: Upstream, rng: Random) -> Limiter:
+def make_adaptive_limiter(upstream: Upstream, rng: Random) -> Limiter:
     """Make the limiter of an upstream, cold."""
     return make_limiter(
         name=upstream.name,
@@ -98,7 +98,7 @@
     successor_policy: Callable[[], SuccessorPolicy] = RendezvousSuccessorPolicy
     shutdown_policy: Callable[[], ShutdownPolicy] = GracefulShutdown
     fence: Callable[[MemberView], Fence] = make_fence
-    limiter: Callable[[Upstream, Random], Limiter] = adaptive_limiter
+    limiter: Callable[[Upstream, Random], Limiter] = make_adaptive_limiter
     leaving_rule: Callable[[DocumentStore], LeavingRule] = make_leaving_rule
     retry_budget: Callable[[], RetryBudget] = RatioRetryBudget
     placer: Callable[
