--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -75,7 +75,7 @@
     )
 
 
-def tagged_answers(rng: Random) -> AnswerStore:
+def make_answer_store(rng: Random) -> AnswerStore:
     """Make the keeper of answers that are larger than a block."""
     return EtagAnswerStore(rng=rng)
 
@@ -105,7 +105,7 @@
         [MemberView, DocumentStore, Random, HintTable],
         Placer,
     ] = make_placer
-    answers: Callable[[Random], AnswerStore] = tagged_answers
+    answers: Callable[[Random], AnswerStore] = make_answer_store
 
     def transfers(self, rng: Random) -> Transfers:
         """Make what one VM holds of answers and bodies in transfer."""
