--- a/burdocksill/entry/fleet.py
+++ b/burdocksill/entry/fleet.py
@@ -98,10 +98,10 @@
         nursery.start_soon(channel.run)
         await self.membership.bootstrap(self.seeds)
         nursery.start_soon(self.membership.run)
-        await self.learn()
+        await self.wait_for_records()
         return channel
 
-    async def learn(self) -> None:
+    async def wait_for_records(self) -> None:
         """Wait for the platform's records or those of the peers.
 
         The store may answer with what it knew before an edit; the peers that
