--- a/burdocksill/entry/fleet.py
+++ b/burdocksill/entry/fleet.py
@@ -116,10 +116,12 @@
         logger.warning('neither platform nor peers tell the documents')
         async with trio.open_nursery() as nursery:
             for source in (self.learner.synced, self.gossip.in_sync):
-                nursery.start_soon(end_after, source, nursery.cancel_scope)
+                nursery.start_soon(
+                    cancel_when_set, source, nursery.cancel_scope
+                )
 
 
-async def end_after(event: trio.Event, scope: trio.CancelScope) -> None:
+async def cancel_when_set(event: trio.Event, scope: trio.CancelScope) -> None:
     """End a wait when an event comes."""
     await event.wait()
     scope.cancel()
