--- a/burdocksill/entry/main.py
+++ b/burdocksill/entry/main.py
@@ -58,7 +58,7 @@
     return found
 
 
-async def announce(node: EntryNode) -> None:
+async def log_when_serving(node: EntryNode) -> None:
     """Write a line once callers are served."""
     await node.serving.wait()
     logger.info('serving', extra={'listen': str(node.settings.listen)})
@@ -80,7 +80,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(serve_admin, node)
             nursery.start_soon(node.run)
-            nursery.start_soon(announce, node)
+            nursery.start_soon(log_when_serving, node)
             await anext(signals)
             logger.info('stopping')
             # A VM that still waits for the platform or a peer has nothing to
