--- a/burdocksill/entry/main.py
+++ b/burdocksill/entry/main.py
@@ -42,17 +42,19 @@
     try:
         trio.run(serve, settings)
     except* BurdocksillError as group:
-        for failure in flatten(group):
+        for failure in flatten_errors(group):
             click.echo(str(failure), err=True)
         sys.exit(EXIT_FAILED)
 
 
-def flatten(group: BaseExceptionGroup[BaseException]) -> list[BaseException]:
+def flatten_errors(
+    group: BaseExceptionGroup[BaseException],
+) -> list[BaseException]:
     """Return the errors inside nested groups, one for each task that failed."""
     found: list[BaseException] = []
     for member in group.exceptions:
         if isinstance(member, BaseExceptionGroup):
-            found.extend(flatten(member))
+            found.extend(flatten_errors(member))
         else:
             found.append(member)
     return found
