--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -55,7 +55,7 @@
     placement: Placement
     load: float
     # True when a fresh hint says that there is room for new flows.
-    roomy: bool
+    confirmed_capacity: bool
 
 
 @attrs.define(kw_only=True)
@@ -83,7 +83,11 @@
         self.hints.refresh_local()
         found = self.candidates(document, exclude)
         if math.isfinite(max_load):
-            found = [one for one in found if one.roomy and one.load < max_load]
+            found = [
+                one
+                for one in found
+                if one.confirmed_capacity and one.load < max_load
+            ]
         home = self.members.local_member.domain
         local = self.choose(
             [one for one in found if one.placement.upstream.domain == home],
@@ -125,7 +129,7 @@
             candidate = Candidate(
                 placement=Placement(upstream=upstream, owner=owner),
                 load=self.load(held, upstream),
-                roomy=held is not None and has_capacity(held),
+                confirmed_capacity=held is not None and has_capacity(held),
             )
             usable.append(candidate)
             if has_capacity(held):
