--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -115,7 +115,7 @@
         exclude: frozenset[str],
     ) -> list[Candidate]:
         """Return what may be chosen: those with room, else all usable."""
-        roomy: list[Candidate] = []
+        with_capacity: list[Candidate] = []
         usable: list[Candidate] = []
         for upstream in document.upstreams:
             if upstream.name in exclude or not may_get_flows(
@@ -133,8 +133,8 @@
             )
             usable.append(candidate)
             if has_capacity(held):
-                roomy.append(candidate)
-        return roomy or usable
+                with_capacity.append(candidate)
+        return with_capacity or usable
 
     def owner(self, service: str, upstream: Upstream | None) -> Member | None:
         """Return the live member that owns an upstream."""
