--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -118,7 +118,7 @@
         with_capacity: list[Candidate] = []
         usable: list[Candidate] = []
         for upstream in document.upstreams:
-            if upstream.name in exclude or not may_get_flows(
+            if upstream.name in exclude or not accepts_new_flows(
                 self.store, upstream
             ):
                 continue
@@ -172,7 +172,7 @@
             upstream
             for upstream in document.upstreams
             if upstream.name not in exclude
-            and may_get_flows(self.store, upstream)
+            and accepts_new_flows(self.store, upstream)
         ]
         home = self.members.local_member.domain
         local = [upstream for upstream in usable if upstream.domain == home]
@@ -189,7 +189,7 @@
         return find_owner(self.members, service, upstream)
 
 
-def may_get_flows(store: DocumentStore, upstream: Upstream) -> bool:
+def accepts_new_flows(store: DocumentStore, upstream: Upstream) -> bool:
     """Return True unless the document or the operators say otherwise."""
     return not upstream.draining and not store.is_out(upstream.domain)
 
