--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -15,7 +15,7 @@
 # Another failure domain is taken only when its upstream has this much less
 # load than the best of our own: near ones are kept while they are no worse.
 SPILL_MARGIN: Final = 0.05
-CHOICES: Final = 2
+SAMPLE_SIZE: Final = 2
 # A bound on load that every upstream is below.
 NO_LOAD_LIMIT: Final = math.inf
 NO_EXCLUSIONS: Final[frozenset[str]] = frozenset()
@@ -106,7 +106,7 @@
 
     def choose(self, found: list[Candidate]) -> Candidate | None:
         """Return the better of two at random, None without any."""
-        picked = self.rng.sample(found, min(CHOICES, len(found)))
+        picked = self.rng.sample(found, min(SAMPLE_SIZE, len(found)))
         return min(picked, key=lambda one: one.load, default=None)
 
     def candidates(
