--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -14,7 +14,7 @@
 
 # Another failure domain is taken only when its upstream has this much less
 # load than the best of our own: near ones are kept while they are no worse.
-SPILL_MARGIN: Final = 0.05
+SPILLOVER_MARGIN: Final = 0.05
 SAMPLE_SIZE: Final = 2
 # A bound on load that every upstream is below.
 NO_LOAD_LIMIT: Final = math.inf
@@ -96,7 +96,11 @@
             [one for one in found if one.placement.upstream.domain != home],
         )
         chosen = local or remote
-        if local and remote and local.load * (1 - SPILL_MARGIN) > remote.load:
+        if (
+            local
+            and remote
+            and local.load * (1 - SPILLOVER_MARGIN) > remote.load
+        ):
             chosen = remote
         if chosen is None:
             return None
