--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -88,12 +88,20 @@
                 for one in found
                 if one.confirmed_capacity and one.load < max_load
             ]
-        home = self.members.local_member.domain
+        local_domain = self.members.local_member.domain
         local = self.choose(
-            [one for one in found if one.placement.upstream.domain == home],
+            [
+                one
+                for one in found
+                if one.placement.upstream.domain == local_domain
+            ],
         )
         remote = self.choose(
-            [one for one in found if one.placement.upstream.domain != home],
+            [
+                one
+                for one in found
+                if one.placement.upstream.domain != local_domain
+            ],
         )
         chosen = local or remote
         if (
@@ -178,8 +186,10 @@
             if upstream.name not in exclude
             and accepts_new_flows(self.store, upstream)
         ]
-        home = self.members.local_member.domain
-        local = [upstream for upstream in usable if upstream.domain == home]
+        local_domain = self.members.local_member.domain
+        local = [
+            upstream for upstream in usable if upstream.domain == local_domain
+        ]
         for group in (local, usable):
             shuffled = self.rng.sample(group, len(group))
             for upstream in shuffled:
