--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -84,7 +84,7 @@
     return request.block2 is not None and request.block2.number > 0
 
 
-def cut(answer: Answer, wanted: Block) -> Answer:
+def slice_block(answer: Answer, wanted: Block) -> Answer:
     """Return one block of a whole answer."""
     end = wanted.start + wanted.size
     size = len(answer.payload)
@@ -141,7 +141,7 @@
         )
         self.kept[key] = KeptAnswer(answer=whole, used_at=trio.current_time())
         self.used_bytes += size
-        return cut(whole, wanted)
+        return slice_block(whole, wanted)
 
     def later_block(
         self, flow_id: bytes, request: CallerRequest
@@ -158,7 +158,7 @@
                 message='the answer is no longer kept here',
             )
         entry.used_at = trio.current_time()
-        block = cut(entry.answer, request.block2)
+        block = slice_block(entry.answer, request.block2)
         if not block.payload:
             raise RequestFailedError(
                 verdict=Verdict.RAN,
@@ -221,7 +221,7 @@
         wanted = request.block2 or Block(number=0)
         if len(answer.payload) <= wanted.size:
             return answer
-        return cut(answer, wanted)
+        return slice_block(answer, wanted)
 
     def later_block(
         self, flow_id: bytes, request: CallerRequest
