--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -37,7 +37,7 @@
 
 
 @attrs.define(kw_only=True)
-class KeptAnswer:
+class StoredAnswer:
     """Hold a whole answer until its blocks were fetched."""
 
     answer: Answer
@@ -108,7 +108,7 @@
     limit_bytes: int = KEPT_BYTES
     headroom_bytes: int = HEADROOM_BYTES
     used_bytes: int = 0
-    kept: dict[TransferKey, KeptAnswer] = attrs.field(factory=dict)
+    kept: dict[TransferKey, StoredAnswer] = attrs.field(factory=dict)
 
     def require_room(self) -> None:
         """Raise RequestFailedError (not run) when no answer would fit."""
@@ -139,7 +139,7 @@
         key = TransferKey(
             service=request.service, flow_id=flow_id, tag=whole.etag
         )
-        self.kept[key] = KeptAnswer(answer=whole, used_at=trio.current_time())
+        self.kept[key] = StoredAnswer(answer=whole, used_at=trio.current_time())
         self.used_bytes += size
         return slice_block(whole, wanted)
 
