--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -108,7 +108,7 @@
     limit_bytes: int = KEPT_BYTES
     headroom_bytes: int = HEADROOM_BYTES
     used_bytes: int = 0
-    kept: dict[TransferKey, StoredAnswer] = attrs.field(factory=dict)
+    stored: dict[TransferKey, StoredAnswer] = attrs.field(factory=dict)
 
     def require_room(self) -> None:
         """Raise RequestFailedError (not run) when no answer would fit."""
@@ -139,7 +139,9 @@
         key = TransferKey(
             service=request.service, flow_id=flow_id, tag=whole.etag
         )
-        self.kept[key] = StoredAnswer(answer=whole, used_at=trio.current_time())
+        self.stored[key] = StoredAnswer(
+            answer=whole, used_at=trio.current_time()
+        )
         self.used_bytes += size
         return slice_block(whole, wanted)
 
@@ -150,7 +152,7 @@
         key = TransferKey(
             service=request.service, flow_id=flow_id, tag=request.etag
         )
-        entry = self.kept.get(key)
+        entry = self.stored.get(key)
         if entry is None or request.block2 is None:
             raise RequestFailedError(
                 verdict=Verdict.RAN,
@@ -174,7 +176,7 @@
         oldest = trio.current_time() - FETCHING_SECONDS
         return sum(
             1
-            for entry in self.kept.values()
+            for entry in self.stored.values()
             if not entry.fetched and entry.used_at >= oldest
         )
 
@@ -185,7 +187,9 @@
         its last block may have been lost and be asked for again.
         """
         self.drop_idle()
-        for key in [known for known, kept in self.kept.items() if kept.fetched]:
+        for key in [
+            known for known, stored in self.stored.items() if stored.fetched
+        ]:
             if self.used_bytes + size <= self.limit_bytes:
                 return
             self.drop(key)
@@ -194,13 +198,15 @@
         """Drop the answers whose callers have given up."""
         oldest = trio.current_time() - IDLE_SECONDS
         for key in [
-            known for known, kept in self.kept.items() if kept.used_at < oldest
+            known
+            for known, stored in self.stored.items()
+            if stored.used_at < oldest
         ]:
             self.drop(key)
 
     def drop(self, key: TransferKey) -> None:
         """Drop one answer."""
-        entry = self.kept.pop(key)
+        entry = self.stored.pop(key)
         self.used_bytes -= len(entry.answer.payload)
 
 
