--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -75,7 +75,7 @@
     ) -> Answer | None:
         """Return a later block; None lets the request run."""
 
-    def unfetched(self) -> int:
+    def fetching_count(self) -> int:
         """Return how many answers are being fetched right now."""
 
 
@@ -171,7 +171,7 @@
             entry.fetched = True
         return block
 
-    def unfetched(self) -> int:
+    def fetching_count(self) -> int:
         """Return how many answers are being fetched right now."""
         oldest = trio.current_time() - FETCHING_SECONDS
         return sum(
@@ -234,7 +234,7 @@
     ) -> Answer | None:
         """Let the request run again."""
 
-    def unfetched(self) -> int:
+    def fetching_count(self) -> int:
         """Keep nothing that could wait."""
         return 0
 
@@ -352,7 +352,7 @@
 
     async def wait_fetched(self) -> None:
         """Return when no answer is being fetched; a planned stop waits so."""
-        while self.answers.unfetched():  # noqa: ASYNC110
+        while self.answers.fetching_count():  # noqa: ASYNC110
             await trio.sleep(LOOK_SECONDS)
 
     def whole_request(
--- a/tests/steps/requests_blocks.py
+++ b/tests/steps/requests_blocks.py
@@ -99,7 +99,7 @@
         (name,) = (
             name
             for name, running in world.nodes.items()
-            if running.node.router.transfers.answers.unfetched()
+            if running.node.router.transfers.answers.fetching_count()
         )
         world.kill_node(name)
         world.platform.current.pop(keys.VMS + name)
@@ -124,7 +124,7 @@
         (name,) = (
             name
             for name, running in world.nodes.items()
-            if running.node.router.transfers.answers.unfetched()
+            if running.node.router.transfers.answers.fetching_count()
         )
         await world.stop_node(name)
 
@@ -251,7 +251,7 @@
 
     async def story() -> None:
         context.keeper.require_room()
-        assert context.keeper.unfetched() == 0
+        assert context.keeper.fetching_count() == 0
 
     run_seeded(context.seed, story)
 
