--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -62,7 +62,7 @@
 class AnswerStore(Protocol):
     """Cut answers into blocks and serve the blocks after the first."""
 
-    def require_room(self) -> None:
+    def require_capacity(self) -> None:
         """Raise RequestFailedError (not run) when no answer would fit."""
 
     def first_block(
@@ -110,7 +110,7 @@
     used_bytes: int = 0
     stored: dict[TransferKey, StoredAnswer] = attrs.field(factory=dict)
 
-    def require_room(self) -> None:
+    def require_capacity(self) -> None:
         """Raise RequestFailedError (not run) when no answer would fit."""
         self.make_room(self.headroom_bytes)
         if self.used_bytes + self.headroom_bytes > self.limit_bytes:
@@ -217,7 +217,7 @@
     The naive baseline of the control runs: blocks come from different runs.
     """
 
-    def require_room(self) -> None:
+    def require_capacity(self) -> None:
         """Need no room."""
 
     def first_block(
@@ -359,5 +359,5 @@
         self, flow_id: bytes, request: CallerRequest
     ) -> CallerRequest:
         """Return a request with its whole body; refuse it without room."""
-        self.answers.require_room()
+        self.answers.require_capacity()
         return self.bodies.complete(flow_id, request)
--- a/tests/steps/requests_blocks.py
+++ b/tests/steps/requests_blocks.py
@@ -207,7 +207,7 @@
     async def story() -> None:
         try:
             while True:
-                context.keeper.require_room()
+                context.keeper.require_capacity()
                 context.blocks.append(
                     context.keeper.first_block(FLOW, get(), answer)
                 )
@@ -250,7 +250,7 @@
     """Check that a request would be let through."""
 
     async def story() -> None:
-        context.keeper.require_room()
+        context.keeper.require_capacity()
         assert context.keeper.fetching_count() == 0
 
     run_seeded(context.seed, story)
