--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -112,7 +112,7 @@
 
     def require_capacity(self) -> None:
         """Raise RequestFailedError (not run) when no answer would fit."""
-        self.make_room(self.headroom_bytes)
+        self.free_space(self.headroom_bytes)
         if self.used_bytes + self.headroom_bytes > self.limit_bytes:
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
@@ -128,7 +128,7 @@
         size = len(answer.payload)
         if size <= wanted.size:
             return answer
-        self.make_room(size)
+        self.free_space(size)
         if self.used_bytes + size > self.limit_bytes:
             raise RequestFailedError(
                 verdict=Verdict.RAN,
@@ -180,7 +180,7 @@
             if not entry.fetched and entry.used_at >= oldest
         )
 
-    def make_room(self, size: int) -> None:
+    def free_space(self, size: int) -> None:
         """Drop idle answers, then the oldest of those fetched whole.
 
         A fetched answer is otherwise kept a while, since the datagram with
