--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -18,7 +18,7 @@
 # A caller that asks for no block for this long is not waited for.
 FETCHING_SECONDS: Final = 5
 # How often a VM that stops looks whether its answers were fetched.
-LOOK_SECONDS: Final = 0.1
+POLL_SECONDS: Final = 0.1
 # One VM keeps at most this much of answers and bodies in transfer.
 KEPT_BYTES: Final = 32 * 1024 * 1024
 # New requests are refused before they run while less than this is free, so
@@ -353,7 +353,7 @@
     async def wait_fetched(self) -> None:
         """Return when no answer is being fetched; a planned stop waits so."""
         while self.answers.fetching_count():  # noqa: ASYNC110
-            await trio.sleep(LOOK_SECONDS)
+            await trio.sleep(POLL_SECONDS)
 
     def whole_request(
         self, flow_id: bytes, request: CallerRequest
