--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -14,7 +14,7 @@
 LARGEST_BODY_BYTES: Final = 4 * 1024 * 1024
 # RFC 7252, section 4.8.2 (MAX_TRANSMIT_WAIT): a caller that was silent for
 # longer has given up its repeats.
-IDLE_SECONDS: Final = 93
+IDLE_TIMEOUT_SECONDS: Final = 93
 # A caller that asks for no block for this long is not waited for.
 FETCHING_SECONDS: Final = 5
 # How often a VM that stops looks whether its answers were fetched.
@@ -196,7 +196,7 @@
 
     def drop_idle(self) -> None:
         """Drop the answers whose callers have given up."""
-        oldest = trio.current_time() - IDLE_SECONDS
+        oldest = trio.current_time() - IDLE_TIMEOUT_SECONDS
         for key in [
             known
             for known, stored in self.stored.items()
@@ -283,7 +283,7 @@
         for idle in [
             known
             for known, body in self.partial.items()
-            if body.used_at < now - IDLE_SECONDS
+            if body.used_at < now - IDLE_TIMEOUT_SECONDS
         ]:
             self.drop(idle)
         body = self.partial.setdefault(
