--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -16,7 +16,7 @@
 # longer has given up its repeats.
 IDLE_TIMEOUT_SECONDS: Final = 93
 # A caller that asks for no block for this long is not waited for.
-FETCHING_SECONDS: Final = 5
+FETCH_TIMEOUT_SECONDS: Final = 5
 # How often a VM that stops looks whether its answers were fetched.
 POLL_SECONDS: Final = 0.1
 # One VM keeps at most this much of answers and bodies in transfer.
@@ -173,7 +173,7 @@
 
     def fetching_count(self) -> int:
         """Return how many answers are being fetched right now."""
-        oldest = trio.current_time() - FETCHING_SECONDS
+        oldest = trio.current_time() - FETCH_TIMEOUT_SECONDS
         return sum(
             1
             for entry in self.stored.values()
