--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -20,7 +20,7 @@
 # How often a VM that stops looks whether its answers were fetched.
 POLL_SECONDS: Final = 0.1
 # One VM keeps at most this much of answers and bodies in transfer.
-KEPT_BYTES: Final = 32 * 1024 * 1024
+MAX_STORED_BYTES: Final = 32 * 1024 * 1024
 # New requests are refused before they run while less than this is free, so
 # that the answers of those already running still find room.
 HEADROOM_BYTES: Final = 8 * 1024 * 1024
@@ -105,7 +105,7 @@
     """
 
     rng: Random
-    limit_bytes: int = KEPT_BYTES
+    limit_bytes: int = MAX_STORED_BYTES
     headroom_bytes: int = HEADROOM_BYTES
     used_bytes: int = 0
     stored: dict[TransferKey, StoredAnswer] = attrs.field(factory=dict)
@@ -243,7 +243,7 @@
 class BodyAssembler:
     """Put the blocks of request bodies together, in any order."""
 
-    limit_bytes: int = KEPT_BYTES
+    limit_bytes: int = MAX_STORED_BYTES
     largest_bytes: int = LARGEST_BODY_BYTES
     partial: dict[TransferKey, PartialBody] = attrs.field(factory=dict)
     used_bytes: int = 0
