--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -11,7 +11,7 @@
 from burdocksill.requests.verdict import Reason, Verdict
 
 ETAG_BYTES: Final = 8
-LARGEST_BODY_BYTES: Final = 4 * 1024 * 1024
+MAX_BODY_BYTES: Final = 4 * 1024 * 1024
 # RFC 7252, section 4.8.2 (MAX_TRANSMIT_WAIT): a caller that was silent for
 # longer has given up its repeats.
 IDLE_TIMEOUT_SECONDS: Final = 93
@@ -244,7 +244,7 @@
     """Put the blocks of request bodies together, in any order."""
 
     limit_bytes: int = MAX_STORED_BYTES
-    largest_bytes: int = LARGEST_BODY_BYTES
+    largest_bytes: int = MAX_BODY_BYTES
     partial: dict[TransferKey, PartialBody] = attrs.field(factory=dict)
     used_bytes: int = 0
 
