--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -244,7 +244,7 @@
     """Put the blocks of request bodies together, in any order."""
 
     limit_bytes: int = MAX_STORED_BYTES
-    largest_bytes: int = MAX_BODY_BYTES
+    max_body_bytes: int = MAX_BODY_BYTES
     partial: dict[TransferKey, PartialBody] = attrs.field(factory=dict)
     used_bytes: int = 0
 
@@ -260,11 +260,11 @@
                 message=f'block {block.number} has not {block.size} bytes',
             )
         size = max(request.size1 or 0, block.start + len(request.payload))
-        if size > self.largest_bytes:
+        if size > self.max_body_bytes:
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
                 reason=Reason.BODY_TOO_LARGE,
-                message=f'a body has at most {self.largest_bytes} bytes',
+                message=f'a body has at most {self.max_body_bytes} bytes',
             )
         if self.used_bytes + len(request.payload) > self.limit_bytes:
             raise RequestFailedError(
