--- a/burdocksill/ownership/local_requests.py
+++ b/burdocksill/ownership/local_requests.py
@@ -51,7 +51,7 @@
         """Return what a request asks for, None when it has to run."""
         if envelope.request.path == COOKIE_PATH:
             return Answer(code='VALID', verdict=Verdict.RAN)
-        answer = self.transfers.part(cookie.flow_id, envelope.request)
+        answer = self.transfers.answer_part(cookie.flow_id, envelope.request)
         if answer is None or envelope.verified:
             return answer
         raise RequestFailedError(
--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -333,7 +333,9 @@
     answers: AnswerStore
     bodies: BodyAssembler = attrs.field(factory=BodyAssembler)
 
-    def part(self, flow_id: bytes, request: CallerRequest) -> Answer | None:
+    def answer_part(
+        self, flow_id: bytes, request: CallerRequest
+    ) -> Answer | None:
         """Answer a request for a part, None for one that has to run.
 
         Parts never reach the at-most-once window: they run nothing, and
