--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -106,7 +106,7 @@
     async def hand_over(self) -> None:
         """Give upstreams to their heirs and let answers be fetched."""
         await self.owners.stop()
-        await self.router.transfers.wait_fetched()
+        await self.router.transfers.wait_until_fetched()
 
     async def start_serving(
         self,
--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -352,7 +352,7 @@
             block1=request.block1,
         )
 
-    async def wait_fetched(self) -> None:
+    async def wait_until_fetched(self) -> None:
         """Return when no answer is being fetched; a planned stop waits so."""
         while self.answers.fetching_count():  # noqa: ASYNC110
             await trio.sleep(POLL_SECONDS)
