--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -140,7 +140,7 @@
         now = trio.current_time()
         for table in tables:
             for key, entry in table.window.entries():
-                if entry.elsewhere and entry.answer is None:
+                if entry.runs_at_previous_owner and entry.answer is None:
                     table.window.settle(key, refusal(failure), now=now)
 
     def handle_ack(self, opened: VerifiedMessage, peer: Address) -> None:
--- a/burdocksill/requests/window.py
+++ b/burdocksill/requests/window.py
@@ -60,7 +60,7 @@
     digest: bytes
     answer: Answer | None = None
     # It runs at the former holder of the epoch, which tells its end.
-    elsewhere: bool = False
+    runs_at_previous_owner: bool = False
 
 
 @attrs.frozen(kw_only=True)
@@ -177,7 +177,7 @@
 
     def restore(self, key: RequestKey, entry: WindowEntry) -> None:
         """Take an entry that the former holder of the epoch remembered."""
-        entry.elsewhere = entry.answer is None
+        entry.runs_at_previous_owner = entry.answer is None
         self.known[key] = entry
         if entry.answer is not None:
             expires_at = (
