--- a/burdocksill/requests/window.py
+++ b/burdocksill/requests/window.py
@@ -23,7 +23,7 @@
 DIGEST_BYTES: Final = 4
 
 # One for all: a window holds hundreds of thousands of them.
-DROPPED: Final = Answer(
+DROPPED_ANSWER: Final = Answer(
     code='BAD_GATEWAY',
     verdict=Verdict.RAN,
     reason=Reason.ANSWER_DROPPED,
@@ -113,7 +113,7 @@
 
 def without_payload(answer: Answer) -> Answer:
     """Return what is remembered of an answer after its retention."""
-    return DROPPED if answer.verdict is Verdict.RAN else answer
+    return DROPPED_ANSWER if answer.verdict is Verdict.RAN else answer
 
 
 @attrs.define(kw_only=True)
