--- a/burdocksill/requests/window.py
+++ b/burdocksill/requests/window.py
@@ -64,7 +64,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class KeptAnswer:
+class AnswerExpiry:
     """Name an answer and the time until which it is kept whole."""
 
     expires_at: float
@@ -127,7 +127,7 @@
 
     # Claims come in the order of time, so the oldest entries stand first.
     known: dict[RequestKey, WindowEntry] = attrs.field(factory=dict)
-    kept: deque[KeptAnswer] = attrs.field(factory=deque)
+    kept: deque[AnswerExpiry] = attrs.field(factory=deque)
 
     def claim(self, key: RequestKey, digest: bytes, *, now: float) -> Claim:
         """Claim a request for dispatch, or tell what became of it."""
@@ -155,7 +155,7 @@
             return
         entry.answer = answer
         expires_at = now + ANSWER_RETENTION_SECONDS
-        self.kept.append(KeptAnswer(expires_at=expires_at, key=key))
+        self.kept.append(AnswerExpiry(expires_at=expires_at, key=key))
 
     def drop_expired(self, now: float) -> None:
         """Drop what nobody can ask for any more."""
@@ -183,7 +183,7 @@
             expires_at = (
                 entry.expires_at - RETENTION_SECONDS + ANSWER_RETENTION_SECONDS
             )
-            self.kept.append(KeptAnswer(expires_at=expires_at, key=key))
+            self.kept.append(AnswerExpiry(expires_at=expires_at, key=key))
 
     def __len__(self) -> int:
         """Return how many requests are remembered."""
