--- a/burdocksill/requests/window.py
+++ b/burdocksill/requests/window.py
@@ -127,7 +127,7 @@
 
     # Claims come in the order of time, so the oldest entries stand first.
     known: dict[RequestKey, WindowEntry] = attrs.field(factory=dict)
-    kept: deque[AnswerExpiry] = attrs.field(factory=deque)
+    answer_expiries: deque[AnswerExpiry] = attrs.field(factory=deque)
 
     def claim(self, key: RequestKey, digest: bytes, *, now: float) -> Claim:
         """Claim a request for dispatch, or tell what became of it."""
@@ -155,12 +155,14 @@
             return
         entry.answer = answer
         expires_at = now + ANSWER_RETENTION_SECONDS
-        self.kept.append(AnswerExpiry(expires_at=expires_at, key=key))
+        self.answer_expiries.append(
+            AnswerExpiry(expires_at=expires_at, key=key)
+        )
 
     def drop_expired(self, now: float) -> None:
         """Drop what nobody can ask for any more."""
-        while self.kept and self.kept[0].expires_at < now:
-            entry = self.known.get(self.kept.popleft().key)
+        while self.answer_expiries and self.answer_expiries[0].expires_at < now:
+            entry = self.known.get(self.answer_expiries.popleft().key)
             if entry is not None and entry.answer is not None:
                 entry.answer = without_payload(entry.answer)
         expired = []
@@ -183,7 +185,9 @@
             expires_at = (
                 entry.expires_at - RETENTION_SECONDS + ANSWER_RETENTION_SECONDS
             )
-            self.kept.append(AnswerExpiry(expires_at=expires_at, key=key))
+            self.answer_expiries.append(
+                AnswerExpiry(expires_at=expires_at, key=key)
+            )
 
     def __len__(self) -> int:
         """Return how many requests are remembered."""
