--- a/burdocksill/requests/window.py
+++ b/burdocksill/requests/window.py
@@ -126,7 +126,7 @@
     """
 
     # Claims come in the order of time, so the oldest entries stand first.
-    known: dict[RequestKey, WindowEntry] = attrs.field(factory=dict)
+    entries_by_key: dict[RequestKey, WindowEntry] = attrs.field(factory=dict)
     answer_expiries: deque[AnswerExpiry] = attrs.field(factory=deque)
 
     def claim(self, key: RequestKey, digest: bytes, *, now: float) -> Claim:
@@ -134,12 +134,14 @@
         claim = self.find(key, digest)
         if claim.state is ClaimState.FRESH:
             expires_at = now + RETENTION_SECONDS
-            self.known[key] = WindowEntry(expires_at=expires_at, digest=digest)
+            self.entries_by_key[key] = WindowEntry(
+                expires_at=expires_at, digest=digest
+            )
         return claim
 
     def find(self, key: RequestKey, digest: bytes) -> Claim:
         """Tell what is known of a request without claiming it."""
-        entry = self.known.get(key)
+        entry = self.entries_by_key.get(key)
         if entry is None:
             return Claim(state=ClaimState.FRESH)
         if entry.digest != digest:
@@ -150,7 +152,7 @@
 
     def settle(self, key: RequestKey, answer: Answer, *, now: float) -> None:
         """Keep a request's final answer, refusals included."""
-        entry = self.known.get(key)
+        entry = self.entries_by_key.get(key)
         if entry is None or entry.answer is not None:
             return
         entry.answer = answer
@@ -162,25 +164,25 @@
     def drop_expired(self, now: float) -> None:
         """Drop what nobody can ask for any more."""
         while self.answer_expiries and self.answer_expiries[0].expires_at < now:
-            entry = self.known.get(self.answer_expiries.popleft().key)
+            entry = self.entries_by_key.get(self.answer_expiries.popleft().key)
             if entry is not None and entry.answer is not None:
                 entry.answer = without_payload(entry.answer)
         expired = []
-        for key, entry in self.known.items():
+        for key, entry in self.entries_by_key.items():
             if entry.expires_at >= now:
                 break
             expired.append(key)
         for old in expired:
-            self.known.pop(old)
+            self.entries_by_key.pop(old)
 
     def entries(self) -> Iterator[tuple[RequestKey, WindowEntry]]:
         """Return what is remembered, oldest first, for a handover."""
-        return iter(self.known.items())
+        return iter(self.entries_by_key.items())
 
     def restore(self, key: RequestKey, entry: WindowEntry) -> None:
         """Take an entry that the former holder of the epoch remembered."""
         entry.runs_at_previous_owner = entry.answer is None
-        self.known[key] = entry
+        self.entries_by_key[key] = entry
         if entry.answer is not None:
             expires_at = (
                 entry.expires_at - RETENTION_SECONDS + ANSWER_RETENTION_SECONDS
@@ -191,7 +193,7 @@
 
     def __len__(self) -> int:
         """Return how many requests are remembered."""
-        return len(self.known)
+        return len(self.entries_by_key)
 
 
 @attrs.define(kw_only=True)
