--- a/burdocksill/requests/window.py
+++ b/burdocksill/requests/window.py
@@ -111,7 +111,7 @@
     return digest.digest()
 
 
-def without_payload(answer: Answer) -> Answer:
+def expired_answer(answer: Answer) -> Answer:
     """Return what is remembered of an answer after its retention."""
     return DROPPED_ANSWER if answer.verdict is Verdict.RAN else answer
 
@@ -166,7 +166,7 @@
         while self.answer_expiries and self.answer_expiries[0].expires_at < now:
             entry = self.entries_by_key.get(self.answer_expiries.popleft().key)
             if entry is not None and entry.answer is not None:
-                entry.answer = without_payload(entry.answer)
+                entry.answer = expired_answer(entry.answer)
         expired = []
         for key, entry in self.entries_by_key.items():
             if entry.expires_at >= now:
