--- a/burdocksill/requests/codec.py
+++ b/burdocksill/requests/codec.py
@@ -40,7 +40,7 @@
 PROBLEM_VERDICT: Final = 'verdict'
 PROBLEM_REASON: Final = 'reason'
 MS_PER_SECOND: Final = 1000
-LONGEST_TIMEOUT_BYTES: Final = 4
+MAX_TIMEOUT_BYTES: Final = 4
 HEADER_BYTES: Final = 4
 TOKEN_LENGTH_MASK: Final = 15
 LONGEST_TOKEN: Final = 8
@@ -178,7 +178,7 @@
 def read_timeout(message: Message) -> float:
     """Return how long the caller waits, 0 when it does not say so well."""
     encoded = option_bytes(message, OPTION_TIMEOUT_MS) or b''
-    if len(encoded) > LONGEST_TIMEOUT_BYTES:
+    if len(encoded) > MAX_TIMEOUT_BYTES:
         # An elective option of a wrong length is ignored (section 5.4.3).
         return 0
     return int.from_bytes(encoded, 'big') / MS_PER_SECOND
