--- a/burdocksill/requests/codec.py
+++ b/burdocksill/requests/codec.py
@@ -43,7 +43,7 @@
 MAX_TIMEOUT_BYTES: Final = 4
 HEADER_BYTES: Final = 4
 TOKEN_LENGTH_MASK: Final = 15
-LONGEST_TOKEN: Final = 8
+MAX_TOKEN_BYTES: Final = 8
 BLOCK_NUMBERS: Final = 1 << 20
 # Critical options that are understood: Uri-Host, Uri-Port, Uri-Path,
 # Uri-Query, Block2 and Block1 (RFC 7252, section 5.10; RFC 7959).
@@ -117,7 +117,7 @@
     """Read one CoAP message; raise MalformedDatagramError."""
     token_bytes = payload[0] & TOKEN_LENGTH_MASK if payload else 0
     whole = len(payload) >= HEADER_BYTES + token_bytes
-    if token_bytes > LONGEST_TOKEN or not whole:
+    if token_bytes > MAX_TOKEN_BYTES or not whole:
         raise MalformedDatagramError(
             message=f'{len(payload)} bytes with a token of {token_bytes}',
             hint='a token has at most 8 bytes (RFC 7252, section 3)',
