--- a/burdocksill/requests/codec.py
+++ b/burdocksill/requests/codec.py
@@ -47,7 +47,7 @@
 BLOCK_NUMBERS: Final = 1 << 20
 # Critical options that are understood: Uri-Host, Uri-Port, Uri-Path,
 # Uri-Query, Block2 and Block1 (RFC 7252, section 5.10; RFC 7959).
-UNDERSTOOD: Final = frozenset((3, 7, 11, 15, 23, 27))
+SUPPORTED_CRITICAL_OPTIONS: Final = frozenset((3, 7, 11, 15, 23, 27))
 REPEATABLE: Final = frozenset((11, 15))
 PROXY_OPTIONS: Final = frozenset((35, 39))
 METHODS: Final = frozenset(
@@ -202,7 +202,7 @@
         )
     for number in critical:
         repeated = number not in REPEATABLE and critical.count(number) > 1
-        if number not in UNDERSTOOD or repeated:
+        if number not in SUPPORTED_CRITICAL_OPTIONS or repeated:
             raise UnsupportedRequestError(
                 request=request,
                 coap_code='BAD_OPTION',
