--- a/burdocksill/requests/codec.py
+++ b/burdocksill/requests/codec.py
@@ -68,7 +68,7 @@
     verdict=Verdict.NOT_RUN,
     reason=Reason.BAD_REQUEST,
 )
-SHORT_PROBLEMS: Final[Mapping[str, Problem]] = MappingProxyType(
+DEFAULT_PROBLEMS: Final[Mapping[str, Problem]] = MappingProxyType(
     {
         'UNAUTHORIZED': Problem(
             verdict=Verdict.NOT_RUN, reason=Reason.COOKIE_NEEDED
@@ -342,7 +342,7 @@
 
 def decode_problem(code: str, payload: bytes) -> Problem:
     """Read a problem document; its answer's code says the rest."""
-    fallback = SHORT_PROBLEMS.get(code, NOT_RUN_PROBLEM)
+    fallback = DEFAULT_PROBLEMS.get(code, NOT_RUN_PROBLEM)
     if not payload:
         return fallback
     try:
