--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -47,7 +47,7 @@
 from burdocksill.requests.codec import (
     decode_request,
     encode_answer,
-    encode_short_answer,
+    encode_minimal_answer,
 )
 from burdocksill.requests.exceptions import (
     MalformedDatagramError,
@@ -427,7 +427,7 @@
         most = MAX_AMPLIFICATION * len(envelope.raw)
         if not envelope.verified and len(encoded) > most:
             self.counters.add('answers_shortened')
-            encoded = encode_short_answer(envelope.request, answer)
+            encoded = encode_minimal_answer(envelope.request, answer)
             if len(encoded) > most:
                 self.counters.add('answers_withheld')
                 return
--- a/burdocksill/requests/codec.py
+++ b/burdocksill/requests/codec.py
@@ -295,7 +295,7 @@
     )
 
 
-def encode_short_answer(request: CallerRequest, answer: Answer) -> bytes:
+def encode_minimal_answer(request: CallerRequest, answer: Answer) -> bytes:
     """Write the least that still tells the caller what became of it.
 
     The problem document is empty: its reader goes by the code.
