--- a/burdocksill/requests/codec.py
+++ b/burdocksill/requests/codec.py
@@ -96,7 +96,7 @@
     return Block(number=number, more=more, exponent=exponent)
 
 
-def write_block(block: Block | None) -> Any:
+def encode_block(block: Block | None) -> Any:
     """Return what the library takes for a block option."""
     if block is None:
         return None
@@ -235,8 +235,8 @@
     opt.etags = [request.etag] if request.etag else []
     opt.request_tag = [request.request_tag] if request.request_tag else []
     opt.size1 = request.size1
-    opt.block1 = write_block(request.block1)
-    opt.block2 = write_block(request.block2)
+    opt.block1 = encode_block(request.block1)
+    opt.block2 = encode_block(request.block2)
     if request.timeout_seconds > 0:
         timeout = int(request.timeout_seconds * MS_PER_SECOND)
         add_option(message, OPTION_TIMEOUT_MS, timeout.to_bytes(4, 'big'))
@@ -270,8 +270,8 @@
         opt.max_age = max(0, round(answer.max_age_seconds))
     if answer.etag:
         opt.etag = answer.etag
-    opt.block1 = write_block(answer.block1)
-    opt.block2 = write_block(answer.block2)
+    opt.block1 = encode_block(answer.block1)
+    opt.block2 = encode_block(answer.block2)
     opt.size2 = answer.size2
     if answer.reason is not None:
         opt.content_format = PROBLEM_FORMAT
