--- a/burdocksill/requests/codec.py
+++ b/burdocksill/requests/codec.py
@@ -86,7 +86,7 @@
 )
 
 
-def read_block(block: Any) -> Block | None:
+def decode_block(block: Any) -> Block | None:
     """Return a block option of the library, None when it is absent."""
     if block is None:
         return None
@@ -156,8 +156,8 @@
         cookie=opt.echo or b'',
         timeout_seconds=read_timeout(message),
         observe=opt.observe,
-        block1=read_block(opt.block1),
-        block2=read_block(opt.block2),
+        block1=decode_block(opt.block1),
+        block2=decode_block(opt.block2),
         etag=opt.etag or b'',
         request_tag=b''.join(opt.request_tag),
         size1=opt.size1,
@@ -331,8 +331,8 @@
         max_age_seconds=opt.max_age,
         cookie=opt.echo or b'',
         observe=opt.observe,
-        block1=read_block(opt.block1),
-        block2=read_block(opt.block2),
+        block1=decode_block(opt.block1),
+        block2=decode_block(opt.block2),
         size2=opt.size2,
         etag=opt.etag or b'',
         hops=tuple(hops.decode(errors='replace').split('>')) if hops else (),
