--- a/burdocksill/requests/codec.py
+++ b/burdocksill/requests/codec.py
@@ -154,7 +154,7 @@
         query=tuple(opt.uri_query),
         payload=message.payload,
         cookie=opt.echo or b'',
-        timeout_seconds=read_timeout(message),
+        timeout_seconds=decode_timeout(message),
         observe=opt.observe,
         block1=decode_block(opt.block1),
         block2=decode_block(opt.block2),
@@ -175,7 +175,7 @@
     return name if name in METHODS else ''
 
 
-def read_timeout(message: Message) -> float:
+def decode_timeout(message: Message) -> float:
     """Return how long the caller waits, 0 when it does not say so well."""
     encoded = option_bytes(message, OPTION_TIMEOUT_MS) or b''
     if len(encoded) > MAX_TIMEOUT_BYTES:
