--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -405,7 +405,7 @@
         answer = await self.dispatcher.dispatch(
             request,
             flow_id=flow_id,
-            longest_seconds=self.document.deadline_seconds,
+            max_seconds=self.document.deadline_seconds,
         )
         return self.transfers.answers.first_block(flow_id, request, answer)
 
--- a/burdocksill/requests/dispatch.py
+++ b/burdocksill/requests/dispatch.py
@@ -22,7 +22,7 @@
         request: CallerRequest,
         *,
         flow_id: bytes,
-        longest_seconds: float,
+        max_seconds: float,
     ) -> Answer:
         """Return the upstream's answer, or raise RequestFailedError."""
 
@@ -39,10 +39,10 @@
         request: CallerRequest,
         *,
         flow_id: bytes,
-        longest_seconds: float,
+        max_seconds: float,
     ) -> Answer:
         """Return the upstream's answer, or raise RequestFailedError."""
-        seconds = longest_seconds
+        seconds = max_seconds
         if request.timeout_seconds:
             seconds = min(seconds, request.timeout_seconds)
         deadline = trio.current_time() + seconds
