--- a/burdocksill/requests/feeds.py
+++ b/burdocksill/requests/feeds.py
@@ -16,7 +16,7 @@
 REGISTER: Final = 0
 DEREGISTER: Final = 1
 POSITION_BYTES: Final = 8
-LARGEST_LINE_BYTES: Final = 1024
+MAX_LINE_BYTES: Final = 1024
 # RFC 7641, section 3.4: 24 bits, compared modulo; a clock of 256 ticks a
 # second goes round in 18 hours and never stands still between owners.
 OBSERVE_NUMBERS: Final = 1 << 24
@@ -54,7 +54,7 @@
 def read_line(line: bytes) -> FeedLine:
     """Read one line of an upstream's feed; raise RequestFailedError."""
     position, _, payload = line.partition(b' ')
-    if not position.isdigit() or len(payload) > LARGEST_LINE_BYTES:
+    if not position.isdigit() or len(payload) > MAX_LINE_BYTES:
         raise RequestFailedError(
             verdict=Verdict.RAN,
             reason=Reason.FEED_REFUSED,
