--- a/burdocksill/ownership/feeds.py
+++ b/burdocksill/ownership/feeds.py
@@ -23,7 +23,7 @@
     decode_position,
     encode_position,
     next_observe,
-    read_line,
+    parse_line,
 )
 from burdocksill.requests.mapping import upstream_request
 from burdocksill.requests.messages import Answer, CallerRequest, Envelope
@@ -259,7 +259,7 @@
         request = attrs.evolve(request, feed_after=feed.position)
         async with aclosing(self.client.feed(request)) as lines:
             async for raw in lines:
-                self.handle_line(feed, read_line(raw))
+                self.handle_line(feed, parse_line(raw))
 
     def handle_line(self, feed: Feed, line: FeedLine) -> None:
         """Pass one line on, in the order of positions."""
--- a/burdocksill/requests/feeds.py
+++ b/burdocksill/requests/feeds.py
@@ -51,7 +51,7 @@
     return request.method == 'GET' and request.observe is not None
 
 
-def read_line(line: bytes) -> FeedLine:
+def parse_line(line: bytes) -> FeedLine:
     """Read one line of an upstream's feed; raise RequestFailedError."""
     position, _, payload = line.partition(b' ')
     if not position.isdigit() or len(payload) > MAX_LINE_BYTES:
--- a/tests/steps/requests_feeds.py
+++ b/tests/steps/requests_feeds.py
@@ -14,7 +14,7 @@
 from burdocksill.flows.cookie import SignedCookieSealer
 from burdocksill.ownership.feeds import FeedTable
 from burdocksill.requests.exceptions import RequestFailedError
-from burdocksill.requests.feeds import read_line
+from burdocksill.requests.feeds import parse_line
 from burdocksill.requests.verdict import Reason
 from burdocksill.upstreams.health import HealthState
 from burdocksill_lab.fakes.clock import VirtualClock
@@ -314,7 +314,7 @@
 @when('a route feed\'s line "{line}" is read')
 def take_line(context: Context, line: str) -> None:
     """Read one line."""
-    context.read = partial(read_line, line.encode())
+    context.read = partial(parse_line, line.encode())
 
 
 @then("the route feed's line is refused")
