--- a/burdocksill/requests/retries.py
+++ b/burdocksill/requests/retries.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-RETRY_SHARE: Final = 0.1
+RETRY_RATIO: Final = 0.1
 # A budget holds a few retries at most: saved up in quiet hours, more would
 # come out as one burst just when the upstreams are short of room.
 LARGEST_BUDGET: Final = 5.0
@@ -31,7 +31,7 @@
     refusals. Without successes this budget runs dry, so they can't.
     """
 
-    share: float = RETRY_SHARE
+    share: float = RETRY_RATIO
     tokens: float = LARGEST_BUDGET
 
     def deposit(self) -> None:
