--- a/burdocksill/requests/retries.py
+++ b/burdocksill/requests/retries.py
@@ -7,7 +7,7 @@
 RETRY_RATIO: Final = 0.1
 # A budget holds a few retries at most: saved up in quiet hours, more would
 # come out as one burst just when the upstreams are short of room.
-LARGEST_BUDGET: Final = 5.0
+MAX_TOKENS: Final = 5.0
 
 
 class RetryBudget(Protocol):
@@ -32,11 +32,11 @@
     """
 
     share: float = RETRY_RATIO
-    tokens: float = LARGEST_BUDGET
+    tokens: float = MAX_TOKENS
 
     def deposit(self) -> None:
         """Count a success."""
-        self.tokens = min(self.tokens + self.share, LARGEST_BUDGET)
+        self.tokens = min(self.tokens + self.share, MAX_TOKENS)
 
     def has_token(self) -> bool:
         """Return True when one retry would be within the budget."""
