--- a/burdocksill/requests/retries.py
+++ b/burdocksill/requests/retries.py
@@ -31,12 +31,12 @@
     refusals. Without successes this budget runs dry, so they can't.
     """
 
-    share: float = RETRY_RATIO
+    ratio: float = RETRY_RATIO
     tokens: float = MAX_TOKENS
 
     def deposit(self) -> None:
         """Count a success."""
-        self.tokens = min(self.tokens + self.share, MAX_TOKENS)
+        self.tokens = min(self.tokens + self.ratio, MAX_TOKENS)
 
     def has_token(self) -> bool:
         """Return True when one retry would be within the budget."""
