--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -32,7 +32,7 @@
 from burdocksill.requests.exceptions import RequestFailedError
 from burdocksill.requests.feeds import is_feed
 from burdocksill.requests.messages import Answer, Envelope
-from burdocksill.requests.refusals import doubted, refusal
+from burdocksill.requests.refusals import refusal, with_uncertain_verdict
 from burdocksill.requests.verdict import Reason, Verdict
 from burdocksill.requests.window import (
     Claim,
@@ -465,7 +465,9 @@
     def send_answer(self, envelope: Envelope, answer: Answer) -> None:
         """Count an answer and send it with the hops it took."""
         if envelope.may_have_run_elsewhere:
-            answer = doubted(answer, self.unknown_epoch_policy.verdict())
+            answer = with_uncertain_verdict(
+                answer, self.unknown_epoch_policy.verdict()
+            )
         self.counters.add(
             'answers',
             service=self.document.service,
--- a/burdocksill/requests/refusals.py
+++ b/burdocksill/requests/refusals.py
@@ -41,7 +41,7 @@
 BAD_OPTION: Final = 'BAD_OPTION'
 
 
-def doubted(answer: Answer, verdict: Verdict) -> Answer:
+def with_uncertain_verdict(answer: Answer, verdict: Verdict) -> Answer:
     """Return a refusal with the verdict of a VM that cannot know."""
     if answer.verdict is not Verdict.NOT_RUN:
         return answer
