--- a/burdocksill/entry/refusals.py
+++ b/burdocksill/entry/refusals.py
@@ -13,7 +13,11 @@
     UnsupportedRequestError,
 )
 from burdocksill.requests.messages import Answer, Envelope
-from burdocksill.requests.refusals import BAD_OPTION, refusal, unsupported
+from burdocksill.requests.refusals import (
+    BAD_OPTION,
+    refusal,
+    unsupported_answer,
+)
 from burdocksill.requests.rejection import is_confirmable, reset_for
 
 
@@ -57,7 +61,7 @@
                 caller=datagram.peer,
                 raw=datagram.payload,
             )
-            self.reply(envelope, unsupported(error))
+            self.reply(envelope, unsupported_answer(error))
             return
         reset = reset_for(datagram.payload)
         if reset:
--- a/burdocksill/requests/refusals.py
+++ b/burdocksill/requests/refusals.py
@@ -64,7 +64,7 @@
     )
 
 
-def unsupported(error: UnsupportedRequestError) -> Answer:
+def unsupported_answer(error: UnsupportedRequestError) -> Answer:
     """Write the answer to a request that CoAP wants refused."""
     return Answer(
         code=error.coap_code,
