--- a/burdocksill/requests/codec.py
+++ b/burdocksill/requests/codec.py
@@ -19,7 +19,7 @@
     UnsupportedRequestError,
 )
 from burdocksill.requests.messages import (
-    LARGEST_EXPONENT,
+    MAX_EXPONENT,
     Answer,
     Block,
     CallerRequest,
@@ -91,7 +91,7 @@
     if block is None:
         return None
     number, more, exponent = block
-    if exponent > LARGEST_EXPONENT or number >= BLOCK_NUMBERS:
+    if exponent > MAX_EXPONENT or number >= BLOCK_NUMBERS:
         return INVALID_BLOCK
     return Block(number=number, more=more, exponent=exponent)
 
--- a/burdocksill/requests/messages.py
+++ b/burdocksill/requests/messages.py
@@ -10,7 +10,7 @@
 # A GET of this path brings a fresh cookie and reaches no upstream.
 COOKIE_PATH: Final = ('.well-known', 'burdocksill', 'cookie')
 # RFC 7959, section 2.2: a block has 2 ** (exponent + 4) bytes, at most 1024.
-LARGEST_EXPONENT: Final = 6
+MAX_EXPONENT: Final = 6
 EXPONENT_BASE: Final = 4
 
 
@@ -20,7 +20,7 @@
 
     number: int
     more: bool = False
-    exponent: int = LARGEST_EXPONENT
+    exponent: int = MAX_EXPONENT
 
     @property
     def size(self) -> int:
