--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -83,7 +83,7 @@
         if not isinstance(message, HandoverNone):
             return
         owned = self.table.find(message.service, name_tag(message.upstream))
-        if owned is not None and owned.state is OwnershipState.TAKING:
+        if owned is not None and owned.state is OwnershipState.ACQUIRING:
             self.table.start(owned)
 
     def handle_part(self, opened: VerifiedMessage, peer: Address) -> None:
@@ -122,7 +122,7 @@
             limit=part.limit,
             instance=part.instance,
         )
-        if owned.state is OwnershipState.TAKING:
+        if owned.state is OwnershipState.ACQUIRING:
             self.table.start(owned)
         self.table.nursery.start_soon(self.settle_unanswered, owned, tables)
 
--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -63,7 +63,7 @@
 class OwnershipState(enum.StrEnum):
     """Name the phases of owning an upstream."""
 
-    TAKING = 'taking'
+    ACQUIRING = 'taking'
     SERVING = 'serving'
     HANDING_OVER = 'handing-over'
     HANDED_OVER = 'handed-over'
@@ -118,7 +118,7 @@
     counters: Counters
     link: CallerLink
     scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
-    state: OwnershipState = OwnershipState.TAKING
+    state: OwnershipState = OwnershipState.ACQUIRING
     ready: trio.Event = attrs.field(factory=trio.Event)
     successor: Member | None = None
     # Operators took the failure domain out.
--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -203,7 +203,7 @@
                     await owned.ready.wait()
         for table in self.inherited.pop(key, []):
             owned.epochs.inherit(table)
-        if owned.state is OwnershipState.TAKING:
+        if owned.state is OwnershipState.ACQUIRING:
             self.start(owned)
         logger.info(
             'owner of upstream',
