--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -1,4 +1,4 @@
-"""One upstream that this VM owns, and the requests that it dispatches."""
+"""Request handling for an upstream that this VM owns."""
 
 import enum
 from collections.abc import Callable
@@ -44,14 +44,14 @@
 from burdocksill.upstreams.admission import Admission
 from burdocksill.upstreams.protocols import UpstreamClient
 
-# A new owner waits this long for what the former one hands over.
+# A new owner waits this long for the handover from the previous owner.
 READY_TIMEOUT_SECONDS: Final = 4.0
-# Requests that wait for the heir's acknowledgement; more are repeated by
-# their callers.
+# Requests buffered until the successor acknowledges the handover. Further
+# requests are dropped; their callers retransmit them.
 MAX_AWAITING_HANDOVER: Final = 1000
 
-# After these a flow asks for a new place: another VM may own the upstream by
-# now, or the upstream leaves.
+# Refusals that carry no cookie, so that the caller opens a new flow: another
+# VM may own the upstream by now, or the upstream is leaving.
 NEW_FLOW_REASONS: Final = frozenset(
     (Reason.OWNER_FENCED, Reason.UPSTREAM_LEAVING),
 )
@@ -61,20 +61,20 @@
 
 
 class OwnershipState(enum.StrEnum):
-    """Name the phases of owning an upstream."""
+    """State of an upstream's ownership on this VM."""
 
     ACQUIRING = 'taking'
     SERVING = 'serving'
     HANDING_OVER = 'handing-over'
     HANDED_OVER = 'handed-over'
-    # The heir did not acknowledge; it may hold the epochs all the same.
+    # The successor did not acknowledge the handover, but may hold the epochs.
     SUCCESSOR_LOST = 'heir-lost'
-    # Nobody took over: the epochs are sealed and stay here.
+    # There is no successor: the epochs are sealed and stay on this VM.
     RETIRED = 'retired'
 
 
 def make_local_requests(owned: 'OwnedUpstream') -> LocalRequests:
-    """Make what answers the requests that run nothing."""
+    """Create the handler of requests that are not dispatched."""
     return LocalRequests(
         service=owned.document.service,
         transfers=owned.transfers,
@@ -85,7 +85,7 @@
 
 
 def make_feeds(owned: 'OwnedUpstream') -> FeedTable:
-    """Make the table of an upstream's feeds, one connection's worth."""
+    """Create the feed table; its limit is the number of connections."""
     return FeedTable(
         service=owned.document.service,
         upstream=owned.upstream.name,
@@ -101,7 +101,7 @@
 
 @attrs.define(kw_only=True)
 class OwnedUpstream:
-    """Hold an upstream's epochs and everything that is counted for it."""
+    """Dispatch the requests of one owned upstream at most once each."""
 
     document: ServiceDocument
     upstream: Upstream
@@ -121,12 +121,12 @@
     state: OwnershipState = OwnershipState.ACQUIRING
     ready: trio.Event = attrs.field(factory=trio.Event)
     successor: Member | None = None
-    # Operators took the failure domain out.
+    # Operators took the failure domain out of service.
     domain_out: bool = False
     awaiting_handover: list[Envelope] = attrs.field(factory=list)
     cancellations: Cancellations = attrs.field(factory=Cancellations)
     progress: InFlightRequests = attrs.field(factory=InFlightRequests)
-    # Called with epoch, key and answer of each request that ends here.
+    # Called with the epoch, key and final answer of each dispatched request.
     on_settled: Callable[[bytes, RequestKey, Answer], None] | None = None
     feeds: FeedTable = attrs.field(
         default=attrs.Factory(make_feeds, takes_self=True),
@@ -136,12 +136,12 @@
     )
 
     async def run(self) -> None:
-        """Keep the connection until the upstream is released."""
+        """Run the upstream client until the upstream is released."""
         with self.scope:
             await self.client.run()
 
     def start(self) -> None:
-        """Open a fresh epoch and serve."""
+        """Open a new epoch and start to serve."""
         self.epochs.open()
         self.state = OwnershipState.SERVING
         self.ready.set()
@@ -152,9 +152,9 @@
         cookie: Cookie | None,
         reason: Reason = Reason.EPOCH_CLOSED,
     ) -> None:
-        """Take a flow that was placed here, new or from a lost owner."""
-        # Almost every request finds the owner ready, and a scope to wait in
-        # costs more than its claim.
+        """Accept a flow placed on this upstream, new or from a lost owner."""
+        # The owner is almost always ready, and a cancel scope costs more than
+        # the claim of a request.
         if not self.ready.is_set():
             with trio.move_on_after(READY_TIMEOUT_SECONDS):
                 await self.ready.wait()
@@ -166,7 +166,7 @@
             await self.serve_unknown_epoch(envelope, cookie, reason)
 
     def open_flow(self, envelope: Envelope) -> None:
-        """Give a new flow its cookie: nothing was dispatched."""
+        """Issue the cookie of a new flow without dispatching its request."""
         if self.successor is not None:
             self.forward_to_successor(envelope, upstream=self.upstream.name)
             return
@@ -186,7 +186,7 @@
         flow_id: bytes,
         reason: Reason,
     ) -> None:
-        """Ask the caller to send its request with a cookie of this epoch."""
+        """Refuse a request as "not run", with a cookie for sending it again."""
         failure = RequestFailedError(
             verdict=Verdict.NOT_RUN,
             reason=reason,
@@ -197,9 +197,9 @@
         self.send_answer(envelope, refusal(failure, cookie=cookie))
 
     async def serve(self, envelope: Envelope, cookie: Cookie) -> None:
-        """Answer a request whose cookie names this upstream."""
-        # Almost every request finds the owner ready, and a scope to wait in
-        # costs more than its claim.
+        """Serve a request whose cookie names this upstream."""
+        # The owner is almost always ready, and a cancel scope costs more than
+        # the claim of a request.
         if not self.ready.is_set():
             with trio.move_on_after(READY_TIMEOUT_SECONDS):
                 await self.ready.wait()
@@ -219,7 +219,7 @@
         cookie: Cookie,
         table: EpochTable,
     ) -> None:
-        """Dispatch a request of an epoch held here once, answer every copy."""
+        """Dispatch a request of a held epoch once and answer duplicates."""
         feeds = is_feed(envelope.request) and envelope.verified
         if feeds and self.successor is None:
             await self.feeds.serve(envelope, cookie)
@@ -245,7 +245,8 @@
                 self.upstream,
             )
         ):
-            # Settled in the same step: no copy can be dispatched any more.
+            # Settled before the next checkpoint, so that no duplicate can be
+            # dispatched.
             self.settle(table, key, OVERLOADED)
             return
         with (
@@ -279,7 +280,7 @@
         table: EpochTable,
         key: RequestKey,
     ) -> Claim:
-        """Claim a request, or only look at it where nothing is dispatched."""
+        """Claim a request; only look it up if nothing may be dispatched."""
         now = trio.current_time()
         self.epochs.seal_if_full(now)
         digest = request_digest(envelope.request)
@@ -290,15 +291,15 @@
     def settle(
         self, table: EpochTable, key: RequestKey, answer: Answer
     ) -> None:
-        """Remember a final answer, also at the heir."""
+        """Store a final answer and send it to the successor, if any."""
         table.window.settle(key, answer, now=trio.current_time())
         if self.on_settled is not None:
             self.on_settled(table.epoch, key, answer)
 
     def answer_duplicate(self, envelope: Envelope, claim: Claim) -> None:
-        """Answer a copy of a request as its first one was answered."""
+        """Answer a duplicate with the stored answer of the first copy."""
         if claim.state is ClaimState.RUNNING:
-            # The answer goes out when the first copy is done.
+            # The first copy is answered when it completes.
             self.counters.add('duplicates_running')
             return
         if claim.answer is not None:
@@ -308,12 +309,12 @@
         failure = RequestFailedError(
             verdict=Verdict.NOT_RUN,
             reason=Reason.TOKEN_REUSED,
-            message='this token stands for another request; use a new one',
+            message='token is in use by another request; use a new one',
         )
         self.send_answer(envelope, refusal(failure))
 
     def refuse_sealed(self, envelope: Envelope, cookie: Cookie) -> None:
-        """Say "not run" under an epoch that never dispatches again."""
+        """Refuse a request of a sealed epoch as "not run"."""
         full = self.epochs.current is None and self.epochs.is_full
         reason = Reason.WINDOW_FULL if full else Reason.EPOCH_CLOSED
         if self.domain_out:
@@ -330,8 +331,9 @@
     ) -> None:
         """Serve a request of an epoch that this VM does not hold.
 
-        Its holder may have run it, so only a request that may run twice runs
-        here; any other is told so at once, with a cookie for new requests.
+        The VM that holds the epoch may have run the request, so the policy
+        decides whether it runs here. Otherwise it is refused at once, with a
+        cookie for new requests.
         """
         if self.successor is not None:
             self.forward_to_successor(envelope)
@@ -346,24 +348,24 @@
             envelope.request
         ):
             self.counters.add('requests_adopted')
-            adopted = attrs.evolve(
+            rebound = attrs.evolve(
                 cookie,
                 epoch=current.epoch,
                 issued=int(self.clock.now()),
             )
-            doubtful = attrs.evolve(envelope, may_have_run_elsewhere=True)
-            await self.serve_held_epoch(doubtful, adopted, current)
+            marked = attrs.evolve(envelope, may_have_run_elsewhere=True)
+            await self.serve_held_epoch(marked, rebound, current)
         else:
             failure = RequestFailedError(
                 verdict=self.unknown_epoch_policy.verdict(),
                 reason=reason,
-                message='the owner that knew this request is gone',
+                message='the VM that held its epoch was lost',
             )
             fresh = self.cookies.issue(cookie.flow_id, envelope.caller)
             self.send_answer(envelope, refusal(failure, cookie=fresh))
 
     async def try_dispatch(self, envelope: Envelope, cookie: Cookie) -> Answer:
-        """Dispatch one request, or say why not and when to come back."""
+        """Dispatch one request; return a refusal if it fails."""
         fresh = self.cookies.issue(cookie.flow_id, envelope.caller)
         try:
             answer = await self.dispatch(envelope, cookie)
@@ -371,7 +373,7 @@
             if failure.reason in NEW_FLOW_REASONS:
                 fresh = b''
             if self.domain_out:
-                # The verdict stays as it was proved; the cookie leads here.
+                # The verdict still holds, but a cookie would lead back here.
                 fresh = b''
                 failure = RequestFailedError(
                     verdict=failure.verdict,
@@ -381,9 +383,9 @@
         return attrs.evolve(answer, cookie=fresh)
 
     async def dispatch(self, envelope: Envelope, cookie: Cookie) -> Answer:
-        """Run a claimed request, unless its cookie or this VM forbids it."""
+        """Dispatch a claimed request; raise RequestFailedError if refused."""
         if envelope.request.cancels:
-            # The cancellation has overtaken the request itself.
+            # The cancellation arrived before the request.
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
                 reason=Reason.CANCELLED,
@@ -412,12 +414,12 @@
     def forward_to_successor(
         self, envelope: Envelope, *, upstream: str = ''
     ) -> None:
-        """Send a request to the heir, or keep it until the heir can take it."""
+        """Relay a request to the successor, or buffer it until the handover."""
         if self.successor is None:
             return
-        known = self.link.reachable(self.successor)
-        if self.state is OwnershipState.SUCCESSOR_LOST or not known:
-            # The lost heir may hold the epochs and may have run the request.
+        is_reachable = self.link.reachable(self.successor)
+        if self.state is OwnershipState.SUCCESSOR_LOST or not is_reachable:
+            # The lost successor may hold the epochs and have run the request.
             failure = RequestFailedError(
                 verdict=self.unknown_epoch_policy.verdict(),
                 reason=Reason.OWNER_LOST,
@@ -433,13 +435,13 @@
             self.awaiting_handover.append(envelope)
 
     def begin_handover(self, successor: Member) -> None:
-        """Dispatch nothing new from here on, whatever becomes of the heir."""
+        """Stop dispatching for good, even if the successor is lost."""
         self.successor = successor
         self.state = OwnershipState.HANDING_OVER
         self.ready.set()
 
     def finish_handover(self, *, acknowledged: bool) -> None:
-        """Let the requests that waited go to the heir."""
+        """Forward buffered requests to the successor, or refuse them."""
         if acknowledged:
             self.state = OwnershipState.HANDED_OVER
         else:
@@ -451,19 +453,19 @@
             self.forward_to_successor(envelope)
 
     def retire(self) -> None:
-        """Seal every epoch: nobody takes over, and nothing runs any more."""
+        """Seal every epoch when there is no successor."""
         self.epochs.seal_all(trio.current_time())
         self.state = OwnershipState.RETIRED
         self.ready.set()
 
     def reopen_epoch(self) -> None:
-        """Start a fresh epoch once a full window has room again."""
+        """Open a new epoch once a full window has free capacity again."""
         sealed = self.epochs.current is None and not self.epochs.is_full
         if self.state is OwnershipState.SERVING and sealed:
             self.epochs.open()
 
     def send_answer(self, envelope: Envelope, answer: Answer) -> None:
-        """Count an answer and send it with the hops it took."""
+        """Count an answer and send it to the caller with its hops."""
         if envelope.may_have_run_elsewhere:
             answer = with_uncertain_verdict(
                 answer, self.unknown_epoch_policy.verdict()
