--- a/burdocksill/ownership/fence.py
+++ b/burdocksill/ownership/fence.py
@@ -1,4 +1,4 @@
-"""Fence an owner that was paused or has lost sight of its failure domain."""
+"""Fencing of an owner that was paused or has lost its quorum."""
 
 import logging
 from typing import Final
@@ -11,15 +11,15 @@
 from burdocksill.requests.verdict import Reason, Verdict
 
 TICK_SECONDS: Final = 0.1
-# Others declare a silent VM dead after about two seconds; a gap of half that
-# is noticed here before anybody else can own this VM's upstreams.
+# Other VMs declare an unresponsive VM dead after about 2 seconds. A gap of half
+# that is detected before another VM can own the upstreams of this one.
 PAUSE_SECONDS: Final = 1.0
-# After a pause this VM hears its peers again before it dispatches.
+# After a pause this VM waits for messages of its peers before it dispatches.
 RECOVERY_SECONDS: Final = 1.0
-# A VM that hears a majority again may still believe that it owns what others
-# took over meanwhile. They need this long to hear of it, to stop dispatching
-# and to tell what they have in progress; until then both would load an
-# upstream at once.
+# A VM that rejoins the majority may still consider itself the owner of
+# upstreams that other VMs took over meanwhile. Those VMs need this long to
+# learn of it, to stop dispatching and to report their requests in progress.
+# Until then both would send requests to an upstream.
 REJOIN_SECONDS: Final = 2.0
 
 logger = logging.getLogger(__name__)
@@ -27,12 +27,12 @@
 
 @attrs.define(kw_only=True)
 class PauseFence:
-    """Refuse to dispatch after a pause, and without sight of a majority.
+    """Refuse to dispatch after a pause and without a quorum.
 
-    A paused VM (SIGSTOP, a stolen processor) wakes up with a queue of old
-    requests while another VM serves its upstreams already. It would load them
-    a second time. It shows as a gap between two ticks of its own clock, which
-    is looked at right before each dispatch, so no request slips through.
+    A paused VM (SIGSTOP, CPU steal) resumes with a queue of old requests while
+    another VM already serves its upstreams, which would get the load of both.
+    The pause shows as a gap between two ticks of this VM's clock. The gap is
+    checked before each dispatch, so no request is dispatched unchecked.
     """
 
     members: MemberView
@@ -40,13 +40,13 @@
     fenced_until: float = 0
 
     async def run(self) -> None:
-        """Tick until cancelled."""
+        """Tick every TICK_SECONDS until cancelled."""
         while True:
             self.tick()
             await trio.sleep(TICK_SECONDS)
 
     def tick(self) -> None:
-        """Note the time and whether the last tick is too long ago."""
+        """Record a tick; fence after a long gap or without a quorum."""
         now = trio.current_time()
         gap = now - self.last_tick
         self.last_tick = now
@@ -64,22 +64,22 @@
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
                 reason=Reason.OWNER_FENCED,
-                message='this owner was paused or cut off just now',
+                message='this owner was paused or lost its quorum',
                 retry_after_seconds=RECOVERY_SECONDS,
             )
 
     def detect_pause(self) -> None:
-        """Fence at once when the ticker itself has not run since a pause."""
+        """Fence if the tick task has not run since a pause."""
         if trio.current_time() - self.last_tick > PAUSE_SECONDS:
             self.tick()
 
 
 @attrs.define(kw_only=True)
 class NoFence:
-    """Never refuse: the naive baseline of the control runs."""
+    """Never refuse: baseline without fencing, for control runs."""
 
     async def run(self) -> None:
-        """Watch nothing."""
+        """Return at once."""
 
     def check(self) -> None:
-        """Let everything through."""
+        """Allow every dispatch."""
