--- a/burdocksill/ownership/handover.py
+++ b/burdocksill/ownership/handover.py
@@ -1,8 +1,8 @@
-"""Planned handover of an upstream's epochs from its owner to the heir.
+"""Planned handover of an upstream's epochs from its owner to the successor.
 
-The owner stops dispatching, sends its table to one heir only and never
-dispatches under these epochs again, whether or not it hears the
-acknowledgement. So at any time at most one VM dispatches under an epoch.
+The owner stops dispatching, sends its epochs to exactly one successor and never
+dispatches under them again, whether or not it receives the acknowledgement. So
+at most one VM dispatches under an epoch at any time.
 """
 
 from collections.abc import Callable, Iterator
@@ -32,18 +32,18 @@
 )
 
 TRANSFER_BYTES: Final = 8
-# One part stays below the smallest MTU of the networks between entry VMs.
+# Payload of one part; it fits the smallest MTU between entry VMs.
 PART_BYTES: Final = 1100
 ENTRY_BYTES: Final = 90
 PARTS_IN_FLIGHT: Final = 32
 RESEND_SECONDS: Final = 0.05
 DRAIN_SECONDS: Final = 0.5
-# An heir that acknowledges nothing for this long is given up.
+# A successor that acknowledges nothing for this long is considered lost.
 ACK_TIMEOUT_SECONDS: Final = 2.0
 
 
 def handover_entries(owned: OwnedUpstream) -> Iterator[HandoverEntry]:
-    """Yield every remembered request of an upstream."""
+    """Yield an entry for each request stored in the windows."""
     now = trio.current_time()
     for table in owned.epochs.tables.values():
         for key, entry in table.window.entries():
@@ -59,25 +59,25 @@
 def group_entries(
     entries: Iterator[HandoverEntry],
 ) -> list[tuple[HandoverEntry, ...]]:
-    """Group entries into parts that fit a datagram; at least one part."""
+    """Group entries into parts that fit a datagram; return at least one."""
     groups: list[tuple[HandoverEntry, ...]] = []
-    gathered: list[HandoverEntry] = []
+    current: list[HandoverEntry] = []
     size = 0
     for entry in entries:
         payload = len(entry.answer.payload) if entry.answer else 0
-        length = ENTRY_BYTES + payload
-        if gathered and size + length > PART_BYTES:
-            groups.append(tuple(gathered))
-            gathered = []
+        entry_size = ENTRY_BYTES + payload
+        if current and size + entry_size > PART_BYTES:
+            groups.append(tuple(current))
+            current = []
             size = 0
-        gathered.append(entry)
-        size += length
-    groups.append(tuple(gathered))
+        current.append(entry)
+        size += entry_size
+    groups.append(tuple(current))
     return groups
 
 
 def build_parts(owned: OwnedUpstream, transfer: bytes) -> list[HandoverPart]:
-    """Write an upstream's epochs and remembered requests as parts."""
+    """Encode an upstream's epochs and stored requests as parts."""
     now = trio.current_time()
     epochs = tuple(
         HandoverEpoch(
@@ -106,7 +106,7 @@
 
 @attrs.define(kw_only=True)
 class HandoverSender:
-    """Send one upstream's table to its heir."""
+    """Send the epochs of one upstream to its successor."""
 
     owned: OwnedUpstream
     successor: Member
@@ -115,18 +115,18 @@
     transfer: bytes = b''
     pending_parts: dict[int, HandoverPart] = attrs.field(factory=dict)
     acknowledged: trio.Event = attrs.field(factory=trio.Event)
-    # Answers that the heir has not acknowledged yet, by request.
+    # Answers that the successor has not acknowledged yet, by request.
     unacknowledged: dict[RequestKey, HandoverSettled] = attrs.field(
         factory=dict
     )
 
     async def run(self) -> None:
-        """Send until the heir has everything or is given up."""
+        """Send until the successor has acknowledged all parts or is lost."""
         self.transfer = self.rng.randbytes(TRANSFER_BYTES)
         self.owned.begin_handover(self.successor)
         self.owned.on_settled = self.send_settled
-        # Most requests end at once; what is over before the table leaves
-        # cannot load the upstream together with the heir's requests.
+        # Most requests end within DRAIN_SECONDS. Those that have ended do not
+        # add to the load of the successor's requests on the upstream.
         with trio.move_on_after(DRAIN_SECONDS):
             await self.owned.progress.wait_idle()
         parts = build_parts(self.owned, self.transfer)
@@ -143,7 +143,7 @@
         await self.resend_unacknowledged()
 
     async def send_round(self) -> None:
-        """Send the first missing parts and wait for acknowledgements."""
+        """Send the first unacknowledged parts and wait for acknowledgements."""
         self.acknowledged = trio.Event()
         for part in list(self.pending_parts.values())[:PARTS_IN_FLIGHT]:
             self.peers.send(part, self.successor.peer_address)
@@ -151,7 +151,7 @@
             await self.acknowledged.wait()
 
     def handle_ack(self, ack: HandoverAck) -> None:
-        """Note that the heir has a part."""
+        """Record that the successor has received a part."""
         self.pending_parts.pop(ack.part, None)
         if not self.pending_parts:
             self.acknowledged.set()
@@ -162,7 +162,7 @@
         key: RequestKey,
         answer: Answer,
     ) -> None:
-        """Tell the heir what became of a request that was running."""
+        """Send the successor the answer of a request that was in progress."""
         settled = HandoverSettled(
             service=self.owned.document.service,
             upstream=self.owned.upstream.name,
@@ -178,11 +178,11 @@
         self.peers.send(settled, self.successor.peer_address)
 
     def handle_settled_ack(self, key: bytes) -> None:
-        """Note that the heir has an answer."""
+        """Record that the successor has received an answer."""
         self.unacknowledged.pop(RequestKey(key), None)
 
     async def resend_unacknowledged(self) -> None:
-        """Repeat late answers until the heir has them or is given up."""
+        """Resend answers until all are acknowledged or the timeout is over."""
         await self.owned.progress.wait_idle()
         with trio.move_on_after(ACK_TIMEOUT_SECONDS):
             while self.unacknowledged:  # noqa: ASYNC110
@@ -193,29 +193,29 @@
 
 @attrs.define(kw_only=True)
 class HandoverReceiver:
-    """Gather the parts of one transfer; nothing is held before the last."""
+    """Collect the parts of one transfer; incomplete ones have no effect."""
 
     make_window: Callable[[], RequestWindow]
     parts: dict[int, HandoverPart] = attrs.field(factory=dict)
     complete: bool = False
 
     def add_part(self, part: HandoverPart) -> tuple[EpochTable, ...] | None:
-        """Return the epochs once all parts are there, and only then."""
+        """Add a part; return the epochs when it completes the transfer."""
         if self.complete:
             return None
         self.parts[part.part] = part
         if len(self.parts) < part.parts:
             return None
         self.complete = True
-        tables = self.build(part.epochs)
+        tables = self.build_tables(part.epochs)
         self.parts.clear()
         return tables
 
-    def build(
+    def build_tables(
         self,
         epochs: tuple[HandoverEpoch, ...],
     ) -> tuple[EpochTable, ...]:
-        """Make the tables of the epochs that came over."""
+        """Build the epoch tables from the received parts."""
         now = trio.current_time()
         tables = {
             epoch.epoch: EpochTable(
