--- a/burdocksill/ownership/succession.py
+++ b/burdocksill/ownership/succession.py
@@ -1,4 +1,4 @@
-"""Choose who takes over an upstream when its owner lets it go."""
+"""Policies that choose the successor when an owner releases an upstream."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -10,18 +10,18 @@
 
 
 class SuccessorPolicy(Protocol):
-    """Choose the heir of an upstream."""
+    """Choose the successor of an upstream's owner."""
 
     def choose(self, members: Sequence[Member], hash_key: str) -> Member | None:
-        """Return the heir, None when the epochs are sealed instead."""
+        """Return the successor; None means that the epochs are sealed."""
 
 
 @attrs.define(kw_only=True)
 class RendezvousSuccessorPolicy:
-    """Hand over to the member that every other VM takes for the new owner.
+    """Choose the member that all other VMs consider the new owner.
 
-    Without a handover every flow of the upstream meets a VM that does not
-    know its requests, and is told "may have run" in a change that was planned.
+    Without a handover the new owner does not know the requests of the
+    upstream's flows and would report "may have run" in a planned change.
     """
 
     def choose(self, members: Sequence[Member], hash_key: str) -> Member | None:
@@ -31,8 +31,8 @@
 
 @attrs.define(kw_only=True)
 class NoSuccessorPolicy:
-    """Hand over to nobody: the naive baseline of the control runs."""
+    """Choose no successor: baseline without handover, for control runs."""
 
     def choose(self, members: Sequence[Member], hash_key: str) -> Member | None:
-        """Return the owner of an empty domain: nobody."""
+        """Return None, the owner among no members."""
         return owner_of((), hash_key)
