--- a/burdocksill/ownership/unknown_epochs.py
+++ b/burdocksill/ownership/unknown_epochs.py
@@ -1,4 +1,4 @@
-"""What a VM may do with a request of an epoch that it does not hold."""
+"""Policies for requests of an epoch that this VM does not hold."""
 
 from typing import Protocol
 
@@ -9,23 +9,22 @@
 
 
 class UnknownEpochPolicy(Protocol):
-    """Decide on requests whose epoch some other VM holds, or held."""
+    """Decide on requests whose epoch another VM holds or held."""
 
     def may_run(self, request: CallerRequest) -> bool:
-        """Return True when the request may run here all the same."""
+        """Return True if the request may run on this VM."""
 
     def verdict(self) -> Verdict:
-        """Return what is said of a request that does not run here."""
+        """Return the verdict for a request that does not run on this VM."""
 
 
 @attrs.define(kw_only=True)
 class IdempotentOnlyPolicy:
-    """Run only what may run twice, and never claim to know the rest.
+    """Run only idempotent requests; report "may have run" for all others.
 
-    The holder may be dead, paused or cut off, and may have run the request
-    or run it yet: its packet can still be queued there. Only an idempotent
-    request is safe here, and of any other only the holder could say that it
-    was not run.
+    The VM that holds the epoch may be dead, paused or partitioned. It may have
+    run the request, or may still run it from its queue. So only an idempotent
+    request may run here, and only that VM could report "not run".
     """
 
     def may_run(self, request: CallerRequest) -> bool:
@@ -39,7 +38,7 @@
 
 @attrs.define(kw_only=True)
 class AlwaysRunPolicy:
-    """Run everything: a naive baseline of the control runs."""
+    """Run all requests: baseline without the check, for control runs."""
 
     def may_run(self, request: CallerRequest) -> bool:
         """Return True always."""
@@ -52,12 +51,12 @@
 
 @attrs.define(kw_only=True)
 class AssumeNotRunPolicy:
-    """Take the holder's loss for proof: a naive baseline of control runs."""
+    """Report "not run" without evidence: baseline for control runs."""
 
     def may_run(self, request: CallerRequest) -> bool:
         """Return True for idempotent requests."""
         return request.idempotent
 
     def verdict(self) -> Verdict:
-        """Say that the request was not run, without knowing it."""
+        """Return "not run", although the holder may have run the request."""
         return Verdict.NOT_RUN
