--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -1,4 +1,4 @@
-"""The upstreams that this VM owns, kept in step with documents and members."""
+"""Upstreams that this VM owns, reconciled with documents and members."""
 
 import logging
 import math
@@ -23,12 +23,12 @@
 from burdocksill.requests.window import RequestWindow
 from burdocksill.upstreams.messages import UpstreamHint
 
-# How often a new owner asks the former one for what it holds, and how long.
+# Interval and timeout of the handover requests to the previous owner.
 REQUEST_INTERVAL_SECONDS: Final = 0.2
 TAKEOVER_SECONDS: Final = 3.0
 MAINTENANCE_INTERVAL_SECONDS: Final = 1.0
-# Longer than a VM that is cut off needs to fence itself, counted from when
-# others take it for dead.
+# Longer than a partitioned VM needs to fence itself, measured from when other
+# VMs consider it dead.
 LOSS_QUIET_SECONDS: Final = 3.0
 
 logger = logging.getLogger(__name__)
@@ -36,7 +36,7 @@
 
 @attrs.frozen(kw_only=True)
 class OwnedKey:
-    """Name an upstream of a service."""
+    """Identify an upstream by its service and the tag of its name."""
 
     service: str
     upstream_tag: bytes
@@ -44,20 +44,20 @@
 
 @attrs.frozen(kw_only=True)
 class OwnershipTarget:
-    """Name an upstream that this VM should own now."""
+    """Hold an upstream that this VM should own and its document."""
 
     document: ServiceDocument
     upstream: Upstream
 
 
 def hash_key(service: str, upstream: str) -> str:
-    """Return what rendezvous hashing places among members."""
+    """Return the key of an upstream for rendezvous hashing."""
     return f'{service}/{upstream}'
 
 
 @attrs.define(kw_only=True)
 class OwnerTable:
-    """Take and release upstreams as documents and members change."""
+    """Acquire and release upstreams as documents and members change."""
 
     members: MemberView
     store: DocumentStore
@@ -66,13 +66,15 @@
     peers: PeerSender
     make_window: Callable[[], RequestWindow]
     successor_policy: SuccessorPolicy
-    # Makes an owned upstream that does not serve yet.
+    # Creates an owned upstream that does not serve yet.
     build: Callable[[ServiceDocument, Upstream], OwnedUpstream]
     owned: dict[OwnedKey, OwnedUpstream] = attrs.field(factory=dict)
-    # Released upstreams still answer for their epochs or pass them on.
+    # Released upstreams still answer for their epochs, or relay the requests
+    # to the successor.
     released: dict[OwnedKey, list[OwnedUpstream]] = attrs.field(factory=dict)
     senders: list[HandoverSender] = attrs.field(factory=list)
-    # What a former owner said before this VM noticed that it is the heir.
+    # Epochs received from a previous owner before this VM acquired the
+    # upstream.
     inherited: dict[OwnedKey, list[EpochTable]] = attrs.field(factory=dict)
     stopping: bool = False
     previous_live: set[bytes] = attrs.field(factory=set)
@@ -84,7 +86,7 @@
         upstream_tag: bytes,
         epoch: bytes = b'',
     ) -> OwnedUpstream | None:
-        """Return what holds an epoch here, else the owned upstream."""
+        """Return the upstream that holds an epoch, else the owned one."""
         key = OwnedKey(service=service, upstream_tag=upstream_tag)
         owned = self.owned.get(key)
         if owned is not None and owned.epochs.find(epoch) is not None:
@@ -95,7 +97,7 @@
         return owned
 
     async def run(self) -> None:
-        """Follow changes until cancelled; forget what has expired."""
+        """Reconcile on changes and drop expired state until cancelled."""
         self.members.subscribe(self.reconcile)
         self.store.listeners.append(self.reconcile)
         while True:
@@ -104,24 +106,26 @@
             await trio.sleep(MAINTENANCE_INTERVAL_SECONDS)
 
     def hints(self) -> tuple[UpstreamHint, ...]:
-        """Return what others may know of the upstreams owned here."""
+        """Return the hints of all owned upstreams for gossip."""
         return tuple(
             owned.admission.hint(owned.upstream)
             for owned in self.owned.values()
         )
 
     def reconcile(self) -> None:
-        """Take what has become ours and release what has not."""
+        """Acquire newly assigned upstreams and release all others."""
         if self.stopping:
             return
         self.detect_lost_members()
         assigned = self.assigned()
-        for key in [known for known in self.owned if known not in assigned]:
+        for key in [
+            owned_key for owned_key in self.owned if owned_key not in assigned
+        ]:
             self.release(key)
         for key, target in assigned.items():
             held = self.owned.get(key)
-            moved = target.upstream.address
-            if held is not None and held.upstream.address != moved:
+            current_address = target.upstream.address
+            if held is not None and held.upstream.address != current_address:
                 self.release(key)
                 held = None
             if held is None:
@@ -131,7 +135,7 @@
                 held.upstream = target.upstream
 
     def detect_lost_members(self) -> None:
-        """Remember when a member of the domain was lost without a leave."""
+        """Record when a member of the domain was lost without a leave."""
         domain = self.members.local_member.domain
         live = {member.tag for member in self.members.live(domain)}
         leaving = {member.tag for member in self.members.leaving(domain)}
@@ -140,10 +144,11 @@
         self.previous_live = live
 
     def start(self, owned: OwnedUpstream) -> None:
-        """Serve an upstream, after a silence where its owner was lost.
+        """Serve an upstream, after a quiet period if a member was lost.
 
-        A lost owner may only be cut off. Until its fence closes it loads the
-        upstream still, and both together could be more than it bears.
+        The lost owner may only be partitioned. Until it has fenced itself it
+        still sends requests, and both owners together could overload the
+        upstream.
         """
         since = trio.current_time() - self.last_loss_at
         if since < LOSS_QUIET_SECONDS:
@@ -154,7 +159,7 @@
         owned.start()
 
     def assigned(self) -> dict[OwnedKey, OwnershipTarget]:
-        """Return the upstreams for which this VM is the owner."""
+        """Return the upstreams that rendezvous hashing assigns to this VM."""
         local_member = self.members.local_member
         live = self.members.live(local_member.domain)
         found: dict[OwnedKey, OwnershipTarget] = {}
@@ -177,28 +182,28 @@
         return found
 
     def acquire(self, key: OwnedKey, target: OwnershipTarget) -> None:
-        """Own an upstream, with what its former owner hands over."""
+        """Acquire an upstream and start the takeover."""
         owned = self.build(target.document, target.upstream)
         self.owned[key] = owned
         self.nursery.start_soon(owned.run)
         self.nursery.start_soon(self.take_over, key, owned)
 
     async def take_over(self, key: OwnedKey, owned: OwnedUpstream) -> None:
-        """Ask the former owner for its epochs, then serve under a new one.
+        """Request the previous owner's epochs, then serve under a new one.
 
-        A former owner that is alive stops dispatching when it is asked, so
-        the upstream is not loaded twice. One that does not answer in time is
-        lost: its epochs are closed, and only "may have run" can be said of
-        their requests.
+        A live previous owner stops dispatching when it receives the request,
+        so that the upstream does not get the load of two owners. One that
+        does not answer in time is considered lost: its epochs are closed, and
+        their requests are reported as "may have run".
         """
-        former = self.previous_owner(owned)
+        previous = self.previous_owner(owned)
         request = HandoverRequest(
             service=owned.document.service,
             upstream=owned.upstream.name,
         )
         with trio.move_on_after(TAKEOVER_SECONDS):
-            while former is not None and not owned.ready.is_set():
-                self.peers.send(request, former.peer_address)
+            while previous is not None and not owned.ready.is_set():
+                self.peers.send(request, previous.peer_address)
                 with trio.move_on_after(REQUEST_INTERVAL_SECONDS):
                     await owned.ready.wait()
         for table in self.inherited.pop(key, []):
@@ -214,7 +219,7 @@
         )
 
     def previous_owner(self, owned: OwnedUpstream) -> Member | None:
-        """Return the member that owned an upstream before this VM."""
+        """Return the member that owns an upstream in the absence of this VM."""
         local_member = self.members.local_member
         others = [
             member
@@ -228,7 +233,7 @@
         return owner_of(others, name)
 
     def release(self, key: OwnedKey) -> None:
-        """Hand an upstream over to its heir, or seal its epochs."""
+        """Hand an upstream over to its successor, or seal its epochs."""
         owned = self.owned.pop(key)
         self.released.setdefault(key, []).append(owned)
         if self.store.is_out(owned.upstream.domain):
@@ -242,7 +247,7 @@
             self.nursery.start_soon(self.hand_over, owned, successor)
 
     def successor_of(self, owned: OwnedUpstream) -> Member | None:
-        """Return the member that owns an upstream once this VM does not."""
+        """Return the successor of this VM; None if the upstream is gone."""
         domain = owned.upstream.domain
         document = self.store.services.get(owned.document.service)
         current = document.upstream(owned.upstream.name) if document else None
@@ -258,7 +263,7 @@
         return self.successor_policy.choose(others, name)
 
     async def hand_over(self, owned: OwnedUpstream, successor: Member) -> None:
-        """Send an upstream's table to one heir and to no other, ever."""
+        """Send the epochs to one successor; a second call does nothing."""
         if owned.successor is not None:
             return
         sender = HandoverSender(
@@ -286,7 +291,7 @@
         owned.scope.cancel()
 
     async def stop(self) -> None:
-        """Hand everything over and wait for the requests in progress."""
+        """Hand over all upstreams and wait for requests in progress."""
         self.stopping = True
         async with trio.open_nursery() as nursery:
             for owned in self.owned.values():
@@ -299,14 +304,14 @@
                 nursery.start_soon(owned.progress.wait_idle)
 
     def all_upstreams(self) -> list[OwnedUpstream]:
-        """Return owned and released upstreams."""
+        """Return the owned and the released upstreams."""
         found = list(self.owned.values())
         for released in self.released.values():
             found.extend(released)
         return found
 
     def drop_expired(self) -> None:
-        """Drop expired tokens and epochs, and what holds none any more."""
+        """Drop expired tokens and epochs, and upstreams without epochs."""
         now = trio.current_time()
         for owned in self.all_upstreams():
             owned.epochs.drop_expired(now)
@@ -323,10 +328,10 @@
 
 
 def close_for_domain_out(owned: OwnedUpstream) -> None:
-    """Dispatch nothing more and close the connection at once.
+    """Stop dispatching and close the connection at once.
 
-    Operators took the failure domain out: what is in progress is given up
-    with an honest verdict instead of holding the domain.
+    Operators took the failure domain out of service. Requests in progress end
+    with an accurate verdict instead of delaying the evacuation.
     """
     owned.domain_out = True
     owned.retire()
