--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -61,7 +61,7 @@
 
 
 class OwnershipState(enum.StrEnum):
-    """State of an upstream's ownership on this VM."""
+    """List the states of an upstream's ownership on this VM."""
 
     ACQUIRING = 'taking'
     SERVING = 'serving'
