--- a/burdocksill/ownership/feeds.py
+++ b/burdocksill/ownership/feeds.py
@@ -1,4 +1,4 @@
-"""The open feeds of one upstream, and the task that carries each."""
+"""Open feeds of one upstream, each served by a task of its own."""
 
 from collections import deque
 from collections.abc import Callable
@@ -32,18 +32,20 @@
 from burdocksill.requests.window import RequestKey, request_key
 from burdocksill.upstreams.protocols import UpstreamClient
 
-# A caller that does not register again for this long is dead or gone.
+# A feed ends when its caller does not renew its registration for this long.
 LEASE_SECONDS: Final = 70.0
-# An idle flow keeps a valid cookie by the notifications of its feed.
+# Interval at which notifications carry a new cookie, so that the cookie of an
+# idle flow stays valid.
 COOKIE_REFRESH_SECONDS: Final = 30.0
-# Lines kept to send again; an older gap is read from the upstream anew.
+# Lines buffered for retransmission; older ones are requested again from the
+# upstream.
 MAX_RECENT_LINES: Final = 32
 MESSAGE_IDS: Final = 65536
 
 
 @attrs.define(kw_only=True, eq=False)
 class Feed:
-    """Hold one caller's feed; `position` is None until it is known."""
+    """Hold one caller's feed; `position` is None before the first line."""
 
     envelope: Envelope
     flow_id: bytes
@@ -54,21 +56,21 @@
         factory=lambda: deque(maxlen=MAX_RECENT_LINES),
     )
     scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
-    # Cancelled when the feed has to be read anew from its position.
+    # Cancelled to request the feed again from its position.
     stream: trio.CancelScope = attrs.field(factory=trio.CancelScope)
 
     @property
     def key(self) -> RequestKey:
-        """Name the feed by its flow and token."""
+        """Return the key of the feed: its flow and token."""
         return request_key(self.flow_id, self.envelope.request.token)
 
     def has_lines_after(self, position: int) -> bool:
-        """Return True when every line after a position is kept here."""
+        """Return True if every line after a position is buffered."""
         first = self.recent[0].position - 1 if self.recent else self.position
         return first is not None and position >= first
 
     def export_state(self) -> FeedState:
-        """Write what another owner needs to go on."""
+        """Return the state with which another owner can resume the feed."""
         request = self.envelope.request
         return FeedState(
             flow_id=self.flow_id,
@@ -85,7 +87,7 @@
 
 @attrs.define(kw_only=True)
 class FeedTable:
-    """Carry the feeds of one upstream; each is a task of its own."""
+    """Serve the feeds of one upstream, up to a limit."""
 
     service: str
     upstream: str
@@ -95,13 +97,13 @@
     clock: WallClock
     counters: Counters
     link: CallerLink
-    # Tells whether the upstream gets no new work.
+    # Returns True if the upstream gets no new work.
     is_leaving: Callable[[], bool]
     feeds: dict[RequestKey, Feed] = attrs.field(factory=dict)
     message_id: int = 0
 
     def open_feeds(self) -> tuple[FeedState, ...]:
-        """Describe every feed whose position is known."""
+        """Return the state of every feed whose position is known."""
         return tuple(
             feed.export_state()
             for feed in self.feeds.values()
@@ -109,16 +111,17 @@
         )
 
     def stop_all(self) -> tuple[FeedState, ...]:
-        """End every feed without a word; the heir goes on with them."""
-        state = self.open_feeds()
+        """Stop all feeds without an answer; return their states to resume."""
+        states = self.open_feeds()
         for feed in self.feeds.values():
             feed.scope.cancel()
-        return state
+        return states
 
     def end_all(self, reason: Reason, *, keeps_flow: bool = False) -> None:
-        """Tell every caller to open its feed again, or elsewhere.
+        """End all feeds with a refusal, so that their callers open them again.
 
-        A flow that is kept goes on under its epoch: the heir holds it.
+        With `keeps_flow` the refusal carries a cookie: the successor holds the
+        epoch of the flow.
         """
         failure = RequestFailedError(verdict=Verdict.RAN, reason=reason)
         for feed in self.feeds.values():
@@ -131,22 +134,22 @@
             feed.scope.cancel()
 
     def end_if_leaving(self) -> None:
-        """Let callers open their feeds elsewhere while these still run."""
+        """End all feeds if the upstream is leaving."""
         if self.feeds and self.is_leaving():
             self.end_all(Reason.UPSTREAM_LEAVING)
 
     async def serve(self, envelope: Envelope, cookie: Cookie) -> None:
-        """Open, keep or end the feed that a request names."""
+        """Open, renew or end the feed that a request names."""
         request = envelope.request
-        known = self.feeds.get(request_key(cookie.flow_id, request.token))
+        existing = self.feeds.get(request_key(cookie.flow_id, request.token))
         if request.observe == DEREGISTER:
-            self.deregister(known, envelope)
+            self.deregister(existing, envelope)
             return
-        if known is not None:
-            self.renew(known, envelope)
+        if existing is not None:
+            self.renew(existing, envelope)
             return
         if self.is_leaving():
-            # Without a cookie: the caller opens a flow at another upstream.
+            # No cookie: the caller opens a flow on another upstream.
             failure = RequestFailedError(
                 verdict=Verdict.NOT_RUN, reason=Reason.UPSTREAM_LEAVING
             )
@@ -160,15 +163,15 @@
             ),
         )
 
-    def deregister(self, known: Feed | None, envelope: Envelope) -> None:
-        """End a feed as its caller wishes."""
-        if known is not None:
-            known.scope.cancel()
+    def deregister(self, feed: Feed | None, envelope: Envelope) -> None:
+        """End a feed at its caller's request."""
+        if feed is not None:
+            feed.scope.cancel()
         done = Answer(code='VALID', verdict=Verdict.RAN)
         self.link.reply(envelope, done)
 
     async def resume(self, state: FeedState, hops: tuple[str, ...]) -> None:
-        """Go on with a feed that the former owner handed over."""
+        """Resume a feed that the previous owner handed over."""
         request = CallerRequest(
             service=self.service,
             method='GET',
@@ -184,8 +187,8 @@
             request=request,
             caller=Address(state.caller_host, state.caller_port),
             hops=hops,
-            # The former owner sent there before; a stranger would not have
-            # kept the feed alive by its registrations.
+            # The previous owner verified the address. A spoofed caller could
+            # not have renewed the registration.
             verified=True,
         )
         feed = Feed(
@@ -198,29 +201,29 @@
             await self.run(feed)
 
     def renew(self, feed: Feed, envelope: Envelope) -> None:
-        """Extend a feed's lease and send again what its caller lacks."""
+        """Renew a feed's lease and resend the lines that its caller lacks."""
         feed.envelope = envelope
         feed.scope.deadline = trio.current_time() + LEASE_SECONDS
         if feed.position is None:
             return
-        wanted = decode_position(envelope.request.etag)
-        if wanted is None:
-            # The caller has seen no confirmation yet: it starts from here.
-            wanted = feed.recent[0].position - 1 if feed.recent else None
-            wanted = feed.position if wanted is None else wanted
-        if not feed.has_lines_after(wanted):
+        after = decode_position(envelope.request.etag)
+        if after is None:
+            # The caller has received no confirmation yet: resend all lines.
+            after = feed.recent[0].position - 1 if feed.recent else None
+            after = feed.position if after is None else after
+        if not feed.has_lines_after(after):
             self.counters.add('feeds_read_anew', service=self.service)
-            feed.position = wanted
+            feed.position = after
             feed.recent.clear()
             feed.stream.cancel()
             return
-        self.confirm_position(feed, envelope, wanted)
+        self.confirm_position(feed, envelope, after)
         for line in feed.recent:
-            if line.position > wanted:
+            if line.position > after:
                 self.send(feed, line)
 
     async def run(self, feed: Feed) -> None:
-        """Carry a feed until its caller, its upstream or its lease ends."""
+        """Serve a feed until its caller or upstream ends it or it expires."""
         if len(self.feeds) >= self.limit:
             failure = RequestFailedError(
                 verdict=Verdict.NOT_RUN, reason=Reason.OVERLOADED
@@ -239,7 +242,7 @@
         self.counters.add('feeds_closed', service=self.service)
 
     async def follow(self, feed: Feed) -> RequestFailedError:
-        """Read the upstream's lines until it ends them; return why."""
+        """Read the feed until the upstream ends it; return the reason."""
         while True:
             try:
                 with trio.CancelScope() as stream:
@@ -252,7 +255,7 @@
                 return failure
 
     async def read(self, feed: Feed) -> None:
-        """Read one stream of the upstream from the feed's position."""
+        """Read one stream of the upstream, starting after the position."""
         request = upstream_request(
             feed.envelope.request, flow_id=feed.flow_id, timeout_seconds=0
         )
@@ -262,7 +265,7 @@
                 self.handle_line(feed, parse_line(raw))
 
     def handle_line(self, feed: Feed, line: FeedLine) -> None:
-        """Pass one line on, in the order of positions."""
+        """Send a line to the caller; skip positions that were sent."""
         if not line.payload:
             feed.position = max(line.position, feed.position or 0)
             self.confirm_position(feed, feed.envelope, feed.position)
@@ -274,20 +277,20 @@
     def confirm_position(
         self, feed: Feed, envelope: Envelope, position: int
     ) -> None:
-        """Tell the caller where its feed goes on, with a fresh cookie."""
+        """Send the caller the position of its feed and a new cookie."""
         feed.cookie_sent_at = 0
         answer = self.notification(feed, position)
         self.link.reply(envelope, attrs.evolve(answer, code='VALID'))
 
     def send(self, feed: Feed, line: FeedLine) -> None:
-        """Send one notification; a lost one shows as a gap."""
+        """Send one notification; its loss shows as a gap in positions."""
         self.counters.add('notifications_sent', service=self.service)
         answer = self.notification(feed, line.position)
         answer = attrs.evolve(answer, payload=line.payload)
         self.link.reply(self.next_envelope(feed), answer)
 
     def notification(self, feed: Feed, position: int) -> Answer:
-        """Make a notification without a payload, with a cookie if due."""
+        """Build a notification without payload, with a cookie if one is due."""
         now = trio.current_time()
         cookie = b''
         if (
@@ -307,7 +310,7 @@
         )
 
     def next_envelope(self, feed: Feed) -> Envelope:
-        """Return where a notification goes, with a message id of its own."""
+        """Return the feed's envelope with the next message id."""
         self.message_id = (self.message_id + 1) % MESSAGE_IDS
         request = attrs.evolve(
             feed.envelope.request,
