--- a/burdocksill/ownership/cookies.py
+++ b/burdocksill/ownership/cookies.py
@@ -1,4 +1,4 @@
-"""Issue the cookies of one upstream's current epoch."""
+"""Issuing of cookies for the current epoch of an upstream."""
 
 import attrs
 
@@ -15,7 +15,7 @@
 
 @attrs.define(kw_only=True)
 class CookieIssuer:
-    """Seal cookies that lead a flow's packets to this owner."""
+    """Issue cookies that route the packets of a flow to this owner."""
 
     service: str
     upstream: str
@@ -25,7 +25,7 @@
     clock: WallClock
 
     def issue(self, flow_id: bytes, caller: Address) -> bytes:
-        """Seal a cookie of the current epoch; empty while there is none."""
+        """Return a cookie of the current epoch, empty without an epoch."""
         if self.epochs.current is None:
             return b''
         cookie = Cookie(
