--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -1,4 +1,4 @@
-"""Messages of handovers, taken and answered for all upstreams of this VM."""
+"""Handlers of handover messages for all upstreams of this VM."""
 
 import attrs
 import trio
@@ -26,12 +26,12 @@
 
 
 def owned_key(service: str, upstream: str) -> OwnedKey:
-    """Return the key of an upstream that a message names."""
+    """Return the owner table's key of an upstream."""
     return OwnedKey(service=service, upstream_tag=name_tag(upstream))
 
 
 def running_keys(tables: tuple[EpochTable, ...]) -> list[bytes]:
-    """Return the requests that the former owner still has in progress."""
+    """Return the keys of requests in progress at the previous owner."""
     return [
         key
         for table in tables
@@ -42,13 +42,13 @@
 
 @attrs.define(kw_only=True)
 class HandoverExchange:
-    """Answer the messages of handovers on behalf of the owner table."""
+    """Handle handover messages on behalf of the owner table."""
 
     table: OwnerTable
     receivers: dict[bytes, HandoverReceiver] = attrs.field(factory=dict)
 
     def handle_request(self, opened: VerifiedMessage, peer: Address) -> None:
-        """Hand over to the member that says it is the owner now."""
+        """Release an upstream to the member that requests the handover."""
         request = opened.message
         if not isinstance(request, HandoverRequest):
             return
@@ -65,11 +65,11 @@
             self.table.peers.send(none, peer)
         elif key not in self.table.assigned():
             self.table.release(key)
-        # Where both believe that they own it, this VM keeps silent until
-        # their views of the members agree; the other asks again.
+        # If both VMs consider themselves the owner, this one does not answer
+        # until their membership views agree; the other repeats its request.
 
     def is_handing_over(self, key: OwnedKey, successor: Member) -> bool:
-        """Return True while a transfer to the heir is under way."""
+        """Return True while a transfer to the successor is in progress."""
         return any(
             sender.successor.tag == successor.tag
             and sender.owned.document.service == key.service
@@ -78,7 +78,7 @@
         )
 
     def handle_none(self, opened: VerifiedMessage, peer: Address) -> None:
-        """Serve at once: the former owner holds nothing."""
+        """Serve at once, as the previous owner holds no epochs."""
         message = opened.message
         if not isinstance(message, HandoverNone):
             return
@@ -87,7 +87,7 @@
             self.table.start(owned)
 
     def handle_part(self, opened: VerifiedMessage, peer: Address) -> None:
-        """Gather a part; with the last one its epochs are held here."""
+        """Add and acknowledge a part; the last one completes the transfer."""
         part = opened.message
         if not isinstance(part, HandoverPart):
             return
@@ -108,7 +108,7 @@
         part: HandoverPart,
         tables: tuple[EpochTable, ...],
     ) -> None:
-        """Hold the epochs of a transfer, as owner or as future owner."""
+        """Add the epochs of a transfer, also before this VM is the owner."""
         key = owned_key(part.service, part.upstream)
         owned = self.table.owned.get(key)
         if owned is None:
@@ -131,7 +131,7 @@
         owned: OwnedUpstream,
         tables: tuple[EpochTable, ...],
     ) -> None:
-        """Settle inherited requests whose former owner never told the end."""
+        """Settle inherited requests that got no answer in time as lost."""
         await trio.sleep(owned.document.deadline_seconds + 1)
         failure = RequestFailedError(
             verdict=Verdict.MAY_HAVE_RUN,
@@ -144,7 +144,7 @@
                     table.window.settle(key, refusal(failure), now=now)
 
     def handle_ack(self, opened: VerifiedMessage, peer: Address) -> None:
-        """Pass an acknowledgement to its transfer."""
+        """Pass an acknowledgement to the sender of its transfer."""
         ack = opened.message
         if not isinstance(ack, HandoverAck):
             return
@@ -153,7 +153,7 @@
                 sender.handle_ack(ack)
 
     def handle_settled(self, opened: VerifiedMessage, peer: Address) -> None:
-        """Remember the answer of a request that ran at the former owner."""
+        """Store the answer of a request that ran at the previous owner."""
         message = opened.message
         if not isinstance(message, HandoverSettled):
             return
@@ -178,7 +178,7 @@
     def handle_settled_ack(
         self, opened: VerifiedMessage, peer: Address
     ) -> None:
-        """Pass the acknowledgement of a late answer to its transfer."""
+        """Pass the acknowledgement of an answer to all senders."""
         ack = opened.message
         if not isinstance(ack, HandoverSettledAck):
             return
