--- a/burdocksill/ownership/messages.py
+++ b/burdocksill/ownership/messages.py
@@ -7,7 +7,7 @@
 
 @attrs.frozen(kw_only=True)
 class HandoverRequest:
-    """Ask the former owner of an upstream for what it holds."""
+    """Request the handover of an upstream from its previous owner."""
 
     service: str
     upstream: str
@@ -15,7 +15,7 @@
 
 @attrs.frozen(kw_only=True)
 class HandoverNone:
-    """Say that this VM holds nothing of an upstream."""
+    """Report that this VM holds no epochs of an upstream."""
 
     service: str
     upstream: str
@@ -23,19 +23,19 @@
 
 @attrs.frozen(kw_only=True)
 class HandoverEntry:
-    """Hold one remembered request; it still runs while it has no answer."""
+    """Hold one stored request; without an answer it is still running."""
 
     epoch: bytes
     key: bytes
     digest: bytes
-    # Seconds, not a time: the two VMs' clocks need not agree.
+    # A duration in seconds, since the clocks of the two VMs may differ.
     expires_in: float
     answer: Answer | None = None
 
 
 @attrs.frozen(kw_only=True)
 class HandoverEpoch:
-    """Hold one epoch that goes over to the heir."""
+    """Hold one epoch that is handed over to the successor."""
 
     epoch: bytes
     expires_in: float
@@ -44,7 +44,7 @@
 
 @attrs.frozen(kw_only=True)
 class HandoverPart:
-    """Carry one part of a transfer; the heir holds nothing before the last."""
+    """Hold one part of a transfer, which takes effect when complete."""
 
     service: str
     upstream: str
@@ -53,7 +53,7 @@
     parts: int
     epochs: tuple[HandoverEpoch, ...]
     entries: tuple[HandoverEntry, ...]
-    # What the upstream bore at once, and its instance that bore it.
+    # Concurrency limit of the upstream and the instance that it applies to.
     limit: int = 0
     instance: str = ''
 
@@ -68,7 +68,7 @@
 
 @attrs.frozen(kw_only=True)
 class HandoverSettled:
-    """Tell the heir the answer of a request that was running."""
+    """Report the answer of a request that ran during the handover."""
 
     service: str
     upstream: str
@@ -77,7 +77,7 @@
 
 @attrs.frozen(kw_only=True)
 class HandoverSettledAck:
-    """Acknowledge the answer of a request that was running."""
+    """Acknowledge the answer of a request that ran during the handover."""
 
     epoch: bytes
     key: bytes
