--- a/burdocksill/ownership/in_flight.py
+++ b/burdocksill/ownership/in_flight.py
@@ -1,4 +1,4 @@
-"""Count the requests in progress, so that a stop can wait for them."""
+"""Counting of requests in progress, so that a shutdown can await them."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -9,14 +9,14 @@
 
 @attrs.define(kw_only=True)
 class InFlightRequests:
-    """Count what runs and wake whoever waits for the last to end."""
+    """Count requests in progress and wake waiters when none is left."""
 
     running: int = 0
     idle: trio.Event = attrs.field(factory=trio.Event)
 
     @contextmanager
     def track(self) -> Iterator[None]:
-        """Count one request while the block runs."""
+        """Count one request as in progress while the block runs."""
         self.running += 1
         try:
             yield
@@ -25,7 +25,7 @@
             self.notify_if_idle()
 
     def notify_if_idle(self) -> None:
-        """Wake the waiting tasks when nothing runs any more."""
+        """Wake the waiting tasks if no request is in progress."""
         if self.running == 0:
             self.idle.set()
             self.idle = trio.Event()
