--- a/burdocksill/ownership/protocols.py
+++ b/burdocksill/ownership/protocols.py
@@ -1,4 +1,4 @@
-"""What ownership needs of the entry, and the fence before each dispatch."""
+"""Interfaces between ownership and entry, and the fence."""
 
 from typing import Protocol
 
@@ -8,13 +8,13 @@
 
 
 class CallerLink(Protocol):
-    """Answer callers and pass their datagrams on to other entry VMs."""
+    """Answer callers and relay their datagrams to other entry VMs."""
 
     def reply(self, envelope: Envelope, answer: Answer) -> None:
-        """Send an answer straight to the caller."""
+        """Send an answer directly to the caller."""
 
     def reachable(self, member: Member) -> bool:
-        """Return True for a member that packets can be relayed to."""
+        """Return True if packets can be relayed to a member."""
 
     def relay(
         self,
@@ -23,14 +23,14 @@
         *,
         upstream: str = '',
     ) -> None:
-        """Pass a datagram on to another VM."""
+        """Relay a datagram to another VM."""
 
 
 class Fence(Protocol):
-    """Stop a VM from dispatching while others may have taken its place."""
+    """Prevent dispatch while another VM may own the upstreams."""
 
     async def run(self) -> None:
-        """Watch this VM until cancelled."""
+        """Monitor this VM until cancelled."""
 
     def check(self) -> None:
         """Raise RequestFailedError (not run) while this VM is fenced."""
