--- a/burdocksill/ownership/local_requests.py
+++ b/burdocksill/ownership/local_requests.py
@@ -1,4 +1,4 @@
-"""Requests that an owner answers by itself: they run nothing."""
+"""Requests that an owner answers itself, without the upstream."""
 
 import attrs
 
@@ -15,10 +15,10 @@
 
 @attrs.define(kw_only=True)
 class LocalRequests:
-    """Answer for parts of bodies and answers, and for fresh cookies.
+    """Answer requests for blocks of bodies and answers, and for cookies.
 
-    They need no claim in the at-most-once window, since none of them reaches
-    the upstream.
+    They need no claim in the at-most-once window, since they do not reach the
+    upstream.
     """
 
     service: str
@@ -30,9 +30,9 @@
     def answer(
         self, envelope: Envelope, cookie: Cookie, *, has_successor: bool
     ) -> bool:
-        """Answer such a request; return False for any other.
+        """Answer a local request; return False for any other.
 
-        What this VM cannot answer is left to its heir, if there is one.
+        Also return False if this VM cannot answer it and has a successor.
         """
         fresh = self.cookies.issue(cookie.flow_id, envelope.caller)
         try:
@@ -48,7 +48,7 @@
         return True
 
     def find(self, envelope: Envelope, cookie: Cookie) -> Answer | None:
-        """Return what a request asks for, None when it has to run."""
+        """Return the answer, None if the request has to be dispatched."""
         if envelope.request.path == COOKIE_PATH:
             return Answer(code='VALID', verdict=Verdict.RAN)
         answer = self.transfers.answer_part(cookie.flow_id, envelope.request)
@@ -57,5 +57,5 @@
         raise RequestFailedError(
             verdict=answer.verdict,
             reason=Reason.ADDRESS_CHANGED,
-            message='go on with the cookie for your new address',
+            message='use the cookie for your new address',
         )
