--- a/burdocksill/ownership/__init__.py
+++ b/burdocksill/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Ownership: which entry VM answers for an upstream."""
+"""Ownership of upstreams by entry VMs, and its handover."""
