--- a/burdocksill/entry/domains.py
+++ b/burdocksill/entry/domains.py
@@ -1,4 +1,4 @@
-"""Flows whose failure domain or owner is not where a packet expects it."""
+"""Evacuation of failure domains, and flows at VMs that are not the owner."""
 
 from collections.abc import Callable
 from typing import Final, Protocol
@@ -15,14 +15,14 @@
 from burdocksill.requests.messages import Envelope
 from burdocksill.requests.verdict import Reason, Verdict
 
-# Relay, former owner, heir and one more; a longer way is a loop.
+# Relay, previous owner, successor and one more; a longer path is a loop.
 MAX_RELAY_HOPS: Final = 4
-# A new flow is passed on at most this far: VMs and upstreams both count.
+# Maximum length of a new flow's path, in VMs and upstreams together.
 MAX_PLACEMENT_HOPS: Final = 9
 
 
 class PlaceFlow(Protocol):
-    """Place a flow at an upstream and go to its owner."""
+    """Place a flow on an upstream and forward it to the owner."""
 
     def __call__(
         self,
@@ -31,12 +31,12 @@
         *,
         exclude: frozenset[str] = NO_EXCLUSIONS,
     ) -> None:
-        """Place the flow outside the upstreams to avoid."""
+        """Place the flow on an upstream that is not excluded."""
 
 
 @attrs.define(kw_only=True)
 class DomainEvacuation:
-    """Move flows out of failure domains that operators took out."""
+    """Move flows out of failure domains that operators took out of service."""
 
     store: DocumentStore
     placer: Placer
@@ -45,7 +45,7 @@
     count: Callable[[str], None]
 
     def is_evacuated(self, service: str, cookie: Cookie) -> bool:
-        """Return True when a flow's upstream is in a domain that is out."""
+        """Return True if a flow's upstream is in a domain out of service."""
         document = self.store.services.get(service)
         upstream = (
             document.upstream_by_tag(cookie.upstream_tag) if document else None
@@ -53,7 +53,7 @@
         return upstream is not None and self.store.is_out(upstream.domain)
 
     def reason(self, service: str, cookie: Cookie | None) -> Reason:
-        """Return why the holder of a flow's epoch cannot be asked."""
+        """Return why the VM that holds a flow's epoch cannot be reached."""
         if cookie is not None and self.is_evacuated(service, cookie):
             return Reason.DOMAIN_OUT
         return Reason.EPOCH_CLOSED
@@ -64,10 +64,10 @@
         envelope: Envelope,
         limit: int = MAX_RELAY_HOPS,
     ) -> bool:
-        """Return True for a VM in service that has not seen the packet yet.
+        """Return True for a VM in service that is not among the packet's hops.
 
-        Two VMs that take each other for the owner would pass a packet back
-        and forth; its hops show it, and none goes round twice.
+        Two VMs that consider each other the owner would relay a packet back
+        and forth. Its hops prevent such a loop.
         """
         if self.store.is_out(member.domain):
             return False
@@ -75,11 +75,11 @@
         return not visited and len(envelope.hops) < limit
 
     def place_evacuated(self, envelope: Envelope) -> None:
-        """Give a flow up whose failure domain is out, and place it anew.
+        """Place a flow again whose failure domain is out of service.
 
-        No packet may go there to ask, so only a holder that is this VM itself
-        could say "not run"; the new owner says what can be said, at once, and
-        with a cookie for what comes next.
+        No packet may be sent to that domain, so its VMs cannot report "not
+        run". The new owner answers at once, with the verdict of the policy and
+        a cookie for further requests.
         """
         document = self.store.services[envelope.request.service]
         self.count('flows_left_domain')
@@ -87,7 +87,7 @@
             raise RequestFailedError(
                 verdict=self.unknown_epoch_policy.verdict(),
                 reason=Reason.DOMAIN_OUT,
-                message=f'{document.service} runs only in domains out',
+                message=f'{document.service}: all its domains are out',
             )
         self.place(envelope, document)
 
@@ -97,10 +97,10 @@
         upstream: str,
         cookie: Cookie | None,
     ) -> None:
-        """Place a flow anew that came for an upstream not owned here.
+        """Place a flow again that arrived for an upstream of another VM.
 
-        A failure domain that leaves or returns, or a changed owner, is known
-        to the sender a moment before or after it is known here.
+        The sender learns of a new owner, or of a failure domain that leaves or
+        returns, a moment earlier or later than this VM.
         """
         document = self.store.services.get(envelope.request.service)
         exclude = frozenset((upstream,))
@@ -115,7 +115,7 @@
         ):
             self.place(envelope, document, exclude=exclude)
             return
-        # A cookie of a lost owner: that one may have run the request.
+        # With a cookie, the lost owner may have run the request.
         unknown = self.unknown_epoch_policy.verdict()
         raise RequestFailedError(
             verdict=Verdict.NOT_RUN if cookie is None else unknown,
