--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -1,4 +1,4 @@
-"""The guards of one node, so that a control run can replace each of them."""
+"""Factories for the components of an entry VM that can be replaced."""
 
 from collections.abc import Callable
 from random import Random
@@ -41,12 +41,12 @@
 
 
 def make_fence(members: MemberView) -> Fence:
-    """Make the fence of a node."""
+    """Create the fence of a VM."""
     return PauseFence(members=members)
 
 
 def make_adaptive_limiter(upstream: Upstream, rng: Random) -> Limiter:
-    """Make the limiter of an upstream, cold."""
+    """Create the limiter of an upstream, in its cold start."""
     return make_limiter(
         name=upstream.name,
         slots=upstream.slots,
@@ -56,7 +56,7 @@
 
 
 def make_leaving_rule(store: DocumentStore) -> LeavingRule:
-    """Make what decides whether an upstream leaves."""
+    """Create the rule that decides whether an upstream is leaving."""
     return AnySourceRule(store=store)
 
 
@@ -66,7 +66,7 @@
     rng: Random,
     hints: HintTable,
 ) -> Placer:
-    """Make what chooses the upstream of a new flow."""
+    """Create the placer of new flows."""
     return TwoChoicePlacer(
         members=members,
         store=store,
@@ -76,16 +76,16 @@
 
 
 def make_answer_store(rng: Random) -> AnswerStore:
-    """Make the keeper of answers that are larger than a block."""
+    """Create the store of answers that are larger than a block."""
     return EtagAnswerStore(rng=rng)
 
 
 @attrs.frozen(kw_only=True)
 class Components:
-    """Hold what stands between a fault and a broken promise.
+    """Hold the factories of components that protect a guarantee.
 
-    The lab's control runs put a naive baseline in the place of one guard and
-    must then see the violation that the guard prevents.
+    A control run of the lab replaces one component by a baseline without its
+    protection, and must then detect the violation that it prevents.
     """
 
     window: Callable[[], RequestWindow] = TokenWindow
@@ -108,5 +108,5 @@
     answers: Callable[[Random], AnswerStore] = make_answer_store
 
     def transfers(self, rng: Random) -> Transfers:
-        """Make what one VM holds of answers and bodies in transfer."""
+        """Create the block-wise transfers of a VM."""
         return Transfers(answers=self.answers(rng))
