--- a/burdocksill/entry/refusals.py
+++ b/burdocksill/entry/refusals.py
@@ -1,4 +1,4 @@
-"""Answer what is not passed on: refused requests and malformed datagrams."""
+"""Answers to refused requests and malformed datagrams."""
 
 from collections.abc import Callable
 
@@ -23,7 +23,7 @@
 
 @attrs.define(kw_only=True)
 class RefusalSender:
-    """Count and answer what this VM refuses itself."""
+    """Count and answer requests and datagrams that this VM refuses."""
 
     store: DocumentStore
     socket: DatagramSocket
@@ -31,10 +31,10 @@
     reply: Callable[[Envelope, Answer], None]
 
     def refuse(self, envelope: Envelope, failure: RequestFailedError) -> None:
-        """Count and answer a request that is not passed on."""
+        """Count and answer a refused request."""
         answer = refusal(failure)
-        # A caller can write any name of a service into a request; only names
-        # with a document become labels, or a scan would fill the memory.
+        # The service name comes from the caller. Only names with a document
+        # become metric labels, since a scan would otherwise fill the memory.
         service = envelope.request.service
         self.counters.add(
             'answers',
@@ -50,7 +50,7 @@
         datagram: Datagram,
         error: MalformedDatagramError | UnsupportedRequestError,
     ) -> None:
-        """Count what cannot be served, and answer where CoAP says so."""
+        """Count a malformed datagram and answer it if CoAP requires that."""
         self.counters.add('malformed_datagrams')
         confirmable = is_confirmable(datagram.payload)
         if isinstance(error, UnsupportedRequestError) and (
