--- a/burdocksill/entry/rerouting.py
+++ b/burdocksill/entry/rerouting.py
@@ -1,4 +1,4 @@
-"""Route a packet again after the views of the members have agreed."""
+"""Delayed routing of packets that were relayed in a loop."""
 
 from collections.abc import Callable
 from typing import Final
@@ -10,23 +10,24 @@
 
 REROUTE_DELAY_SECONDS: Final = 0.3
 MAX_REROUTES: Final = 8
-# Packets on a detour at once; more are answered without one.
+# Further packets are answered without a delay.
 MAX_WAITING_PACKETS: Final = 500
 
 
 @attrs.define(kw_only=True)
 class DelayedRerouting:
-    """Hold packets that went in a circle for a moment.
+    """Delay packets that were relayed in a loop and route them delayed.
 
-    While members join or leave, two VMs can take each other for the owner.
-    An answer now would call a request lost that its holder still knows, so
-    the packet waits until the views agree, within a bound.
+    While members join or leave, two VMs may consider each other the owner. An
+    answer now would report a request as lost although the holder of its epoch
+    still knows it. So the packet waits until the membership views agree, but
+    at most MAX_REROUTES times.
     """
 
     waiting: int = 0
 
     def is_allowed(self, envelope: Envelope) -> bool:
-        """Return True while a packet may wait for the views to agree."""
+        """Return True if a packet may be delayed once more."""
         few = envelope.reroutes < MAX_REROUTES
         return few and self.waiting < MAX_WAITING_PACKETS
 
@@ -35,15 +36,15 @@
         envelope: Envelope,
         route: Callable[[Envelope], None],
     ) -> None:
-        """Wait a moment, then route the packet as if it had just come."""
+        """Wait REROUTE_DELAY_SECONDS, then route the packet as a new one."""
         self.waiting += 1
         try:
             await trio.sleep(REROUTE_DELAY_SECONDS)
         finally:
             self.waiting -= 1
-        again = attrs.evolve(
+        delayed = attrs.evolve(
             envelope,
             hops=envelope.hops[-1:],
             reroutes=envelope.reroutes + 1,
         )
-        route(again)
+        route(delayed)
