--- a/burdocksill/entry/error_handling.py
+++ b/burdocksill/entry/error_handling.py
@@ -1,4 +1,4 @@
-"""Keep the fault of one request from ending the whole VM."""
+"""Isolation of unexpected errors in the task of one request."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -17,12 +17,12 @@
 
 @attrs.define(kw_only=True)
 class RequestErrorHandler:
-    """Run a request's task and answer for it when it fails unexpectedly.
+    """Run a request's task and answer the request if the task fails.
 
-    A programming error in one request's task would go up through the nursery
-    and end the process, with every flow that it owns. It shows as a counter
-    and a log line with its trace; the caller is told at once that the request
-    may have run, since nobody knows how far it came.
+    A programming error in one task would propagate through the nursery and end
+    the process with all its flows. Instead it is counted and logged with its
+    traceback, and the caller gets the verdict "may have run" at once, since
+    the progress of the request is unknown.
     """
 
     counters: Counters
@@ -33,7 +33,7 @@
         envelope: Envelope,
         task: Callable[[], Awaitable[None]],
     ) -> None:
-        """Run a task; an error of it ends with an answer."""
+        """Run a task and answer the request if it raises an error."""
         try:
             await task()
         except RequestFailedError as failure:
@@ -44,7 +44,7 @@
             self.answer_error(envelope, error)
 
     def answer_error(self, envelope: Envelope, error: Exception) -> None:
-        """Count a fault, log its trace and answer the caller."""
+        """Count an error, log its traceback and answer the caller."""
         self.counters.add('request_faults')
         logger.error(
             'request task failed',
