--- a/burdocksill/entry/shutdown.py
+++ b/burdocksill/entry/shutdown.py
@@ -1,4 +1,4 @@
-"""Stop an entry VM as planned."""
+"""Planned shutdown of an entry VM."""
 
 from collections.abc import Awaitable, Callable
 from typing import Final, Protocol
@@ -6,13 +6,13 @@
 import attrs
 import trio
 
-# A planned stop takes at most this long, whatever becomes of the heirs.
+# Maximum duration of a planned shutdown, even if successors are lost.
 STOP_SECONDS: Final = 30.0
 LINGER_SECONDS: Final = 2.0
 
 
 class ShutdownPolicy(Protocol):
-    """Bring the work of a VM to its end."""
+    """Shut down an entry VM."""
 
     async def stop(
         self,
@@ -20,16 +20,16 @@
         leave: Callable[[], Awaitable[None]],
         hand_over: Callable[[], Awaitable[None]],
     ) -> None:
-        """Return when the process may end."""
+        """Return when the process may exit."""
 
 
 @attrs.define(kw_only=True)
 class GracefulShutdown:
-    """Leave, hand over, wait for the requests in progress, linger.
+    """Leave, hand over, wait for requests in progress, then linger.
 
-    The fabric and other VMs send packets here until they have heard of the
-    leave. A VM that ended at once would lose these packets and cut the
-    requests that it is serving; lingering passes them on to the heirs.
+    The fabric and other VMs send packets to this VM until they learn of its
+    leave. Exiting at once would lose these packets and abort the requests in
+    progress; while it lingers this VM relays the packets to the successors.
     """
 
     async def stop(
@@ -38,7 +38,7 @@
         leave: Callable[[], Awaitable[None]],
         hand_over: Callable[[], Awaitable[None]],
     ) -> None:
-        """Return when the process may end, within a bound."""
+        """Return when the process may exit, after STOP_SECONDS at most."""
         with trio.move_on_after(STOP_SECONDS):
             await leave()
             await hand_over()
@@ -47,7 +47,7 @@
 
 @attrs.define(kw_only=True)
 class ImmediateShutdown:
-    """End at once: the naive baseline of the control runs."""
+    """Exit at once: baseline without a handover, for control runs."""
 
     async def stop(
         self,
