--- a/burdocksill/entry/fleet.py
+++ b/burdocksill/entry/fleet.py
@@ -1,4 +1,4 @@
-"""What joins one entry VM to the fleet: members, records and keys."""
+"""Connection of an entry VM to the fleet: members, records and keys."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -29,7 +29,7 @@
 
 @attrs.define(kw_only=True)
 class Fleet:
-    """Compose membership, dissemination and the channel to the peers."""
+    """Compose membership, dissemination and the channel to peers."""
 
     settings: Settings
     platform: Platform
@@ -39,7 +39,7 @@
     keys: KeyHolder
     store: DocumentStore
     sleep: Callable[[float], Awaitable[None]] = trio.sleep
-    # Peers to ask when the platform is down at the start.
+    # Peers to contact if the platform is unavailable at the start.
     seeds: tuple[Address, ...] = ()
     membership: SwimMembership = attrs.field(init=False)
     gossip: RecordGossip = attrs.field(init=False)
@@ -47,7 +47,7 @@
     learner: PlatformWatcher = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Prepare what needs no task."""
+        """Create the parts that need no running task."""
         self.membership = SwimMembership(
             initial_member=self.settings.member,
             platform=self.platform,
@@ -64,15 +64,15 @@
         )
         self.membership.heartbeats.documents = self.gossip
         self.membership.heartbeats.hints = self.hints
-        rank = WatcherSelector(members=self.membership)
-        self.membership.should_read_list = rank
+        selector = WatcherSelector(members=self.membership)
+        self.membership.should_read_list = selector
         self.learner = PlatformWatcher(
             platform=self.platform,
             store=self.store,
             keys=self.keys,
             counters=self.counters,
             rng=self.rng,
-            is_watcher=rank,
+            is_watcher=selector,
         )
 
     async def join(
@@ -80,7 +80,7 @@
         network: Network,
         nursery: trio.Nursery,
     ) -> PeerChannel:
-        """Learn keys, members and documents; return the channel to peers."""
+        """Load keys, members and documents; return the channel to peers."""
         nursery.start_soon(self.learner.run)
         await self.learner.keys_loaded.wait()
         channel = PeerChannel(
@@ -102,18 +102,18 @@
         return channel
 
     async def wait_for_records(self) -> None:
-        """Wait for the platform's records or those of the peers.
+        """Wait for the records of the platform or of the peers.
 
-        The store may answer with what it knew before an edit; the peers that
-        answered the first heartbeats may be ahead of it, so they get a moment
-        to say so.
+        The store may answer with a state from before an edit. Peers that
+        answered the first heartbeats may be ahead of it, so they are given
+        IN_SYNC_SECONDS first.
         """
         if not self.gossip.in_sync.is_set():
             with trio.move_on_after(IN_SYNC_SECONDS):
                 await self.gossip.in_sync.wait()
         if self.learner.synced.is_set() or self.gossip.in_sync.is_set():
             return
-        logger.warning('neither platform nor peers tell the documents')
+        logger.warning('waiting for documents: platform and peers unavailable')
         async with trio.open_nursery() as nursery:
             for source in (self.learner.synced, self.gossip.in_sync):
                 nursery.start_soon(
@@ -122,6 +122,6 @@
 
 
 async def cancel_when_set(event: trio.Event, scope: trio.CancelScope) -> None:
-    """End a wait when an event comes."""
+    """Cancel a scope when an event is set."""
     await event.wait()
     scope.cancel()
