--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -1,4 +1,4 @@
-"""Compose one entry VM from its slices."""
+"""Composition of an entry VM from its parts."""
 
 from collections.abc import Awaitable, Callable
 from functools import partial
@@ -42,7 +42,7 @@
 
 @attrs.define(kw_only=True)
 class EntryNode:
-    """Run one entry VM on the network, platform and clock it is given."""
+    """Run one entry VM on a given network, platform and clock."""
 
     settings: Settings
     network: Network
@@ -63,12 +63,12 @@
     fence: Fence = attrs.field(init=False)
     serving: trio.Event = attrs.field(factory=trio.Event)
     stopped: trio.Event = attrs.field(factory=trio.Event)
-    # Peers to ask when the platform is down at the start.
+    # Peers to contact if the platform is unavailable at the start.
     seeds: tuple[Address, ...] = ()
     sleep: Callable[[float], Awaitable[None]] = trio.sleep
 
     def __attrs_post_init__(self) -> None:
-        """Prepare what needs no task."""
+        """Create the parts that need no running task."""
         self.store = DocumentStore(
             rule=self.components.revision_rule(),
             domain_rule=self.components.domain_rule(),
@@ -88,7 +88,7 @@
         self.membership = self.fleet.membership
 
     async def run(self) -> None:
-        """Learn first, then serve until cancelled."""
+        """Join the fleet, then serve until stopped or cancelled."""
         async with trio.open_nursery() as nursery:
             channel = await self.fleet.join(self.network, nursery)
             await self.start_serving(nursery, channel)
@@ -96,7 +96,7 @@
             nursery.cancel_scope.cancel()
 
     async def stop(self) -> None:
-        """Stop as planned; `run` returns when it is done."""
+        """Shut down as planned; `run` returns afterwards."""
         await self.components.shutdown_policy().stop(
             leave=self.membership.leave,
             hand_over=self.hand_over,
@@ -104,7 +104,7 @@
         self.stopped.set()
 
     async def hand_over(self) -> None:
-        """Give upstreams to their heirs and let answers be fetched."""
+        """Hand upstreams over and wait until stored answers are fetched."""
         await self.owners.stop()
         await self.router.transfers.wait_until_fetched()
 
@@ -113,7 +113,7 @@
         nursery: trio.Nursery,
         channel: PeerChannel,
     ) -> None:
-        """Open the callers' socket and start one task for each."""
+        """Open the callers' socket and start the serving tasks."""
         self.owners = OwnerTable(
             members=self.membership,
             store=self.store,
@@ -164,7 +164,7 @@
         self.serving.set()
 
     def register_handlers(self, channel: PeerChannel) -> None:
-        """Name the handler of each kind of message from other VMs."""
+        """Register the handlers of messages from other VMs."""
         exchange = HandoverExchange(table=self.owners)
         channel.handlers.update(
             {
@@ -183,7 +183,7 @@
         document: ServiceDocument,
         upstream: Upstream,
     ) -> OwnedUpstream:
-        """Make what this VM holds for an upstream it owns."""
+        """Create the state of an upstream that this VM owns."""
         epochs = EpochHolder(
             make_window=self.components.window,
             make_epoch=partial(self.rng.randbytes, EPOCH_BYTES),
