--- a/burdocksill/entry/main.py
+++ b/burdocksill/entry/main.py
@@ -1,4 +1,4 @@
-"""The program burdocksill-entry: one on each entry VM."""
+"""Program burdocksill-entry, which runs once on each entry VM."""
 
 import logging
 import signal
@@ -50,7 +50,7 @@
 def flatten_errors(
     group: BaseExceptionGroup[BaseException],
 ) -> list[BaseException]:
-    """Return the errors inside nested groups, one for each task that failed."""
+    """Return the errors in nested groups, one for each failed task."""
     found: list[BaseException] = []
     for member in group.exceptions:
         if isinstance(member, BaseExceptionGroup):
@@ -61,13 +61,13 @@
 
 
 async def log_when_serving(node: EntryNode) -> None:
-    """Write a line once callers are served."""
+    """Write a log line once the node serves callers."""
     await node.serving.wait()
     logger.info('serving', extra={'listen': str(node.settings.listen)})
 
 
 async def serve(settings: Settings) -> None:
-    """Run the node until a signal asks it to stop."""
+    """Run the node until SIGTERM or SIGINT."""
     node = EntryNode(
         settings=settings,
         network=SocketNetwork(),
@@ -86,7 +86,7 @@
             await anext(signals)
             logger.info('stopping')
             # A VM that still waits for the platform or a peer has nothing to
-            # hand over; without this it would not stop until it had learned.
+            # hand over. Without this check it would stop only after it joined.
             if node.serving.is_set():
                 await node.stop()
             nursery.cancel_scope.cancel()
