--- a/burdocksill/entry/upstreams.py
+++ b/burdocksill/entry/upstreams.py
@@ -1,4 +1,4 @@
-"""Compose what one entry VM holds for each upstream that it owns."""
+"""Composition of the parts for each upstream that an entry VM owns."""
 
 from random import Random
 
@@ -20,7 +20,7 @@
 
 @attrs.frozen(kw_only=True)
 class UpstreamParts:
-    """Hold the parts that work together for one owned upstream."""
+    """Hold the parts for one owned upstream."""
 
     client: VerifiedClient
     dispatcher: DeadlineDispatcher
@@ -29,7 +29,7 @@
 
 @attrs.define(kw_only=True)
 class UpstreamBuilder:
-    """Make the parts of owned upstreams; a service shares its budget."""
+    """Build the parts of owned upstreams; budgets are per service."""
 
     network: Network
     components: Components
@@ -45,7 +45,7 @@
         document: ServiceDocument,
         upstream: Upstream,
     ) -> UpstreamParts:
-        """Make the parts of one upstream, cold and not connected yet."""
+        """Build the parts of one upstream, cold and not yet connected."""
         limiter = self.components.limiter(upstream, self.rng)
         client = VerifiedClient(
             service=document.service,
@@ -73,7 +73,7 @@
         )
 
     def budget(self, service: str) -> RetryBudget:
-        """Return the retry budget that a service's upstreams here share."""
+        """Return the retry budget shared by a service's upstreams."""
         if service not in self.budgets:
             self.budgets[service] = self.components.retry_budget()
         return self.budgets[service]
