--- a/burdocksill/ownership/feeds.py
+++ b/burdocksill/ownership/feeds.py
@@ -45,7 +45,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Feed:
-    """Hold one caller's feed; `position` is None before the first line."""
+    """Hold one caller's feed; `position` is None until it is known."""
 
     envelope: Envelope
     flow_id: bytes
