--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -1,4 +1,4 @@
-"""Decide for each caller's datagram which VM serves it."""
+"""Routing of callers' datagrams to the VM that serves them."""
 
 from collections.abc import Awaitable, Callable
 from functools import partial
@@ -57,12 +57,13 @@
 from burdocksill.requests.messages import Answer, Envelope
 from burdocksill.requests.verdict import Reason, Verdict
 
+# Limit of RFC 7252, section 11.3, for answers to unverified addresses.
 MAX_AMPLIFICATION: Final = 3
 
 
 @attrs.define(kw_only=True)
 class Router:
-    """Serve what this VM owns, relay the rest, keep no state of flows."""
+    """Serve requests of owned upstreams and relay others."""
 
     members: MemberView
     store: DocumentStore
@@ -73,7 +74,7 @@
     socket: DatagramSocket
     clock: WallClock
     unknown_epoch_policy: UnknownEpochPolicy
-    # The answers and bodies in transfer of every upstream owned here.
+    # Block-wise transfers of all upstreams owned by this VM.
     transfers: Transfers
     counters: Counters
     nursery: trio.Nursery
@@ -95,7 +96,7 @@
     refusal_sender: RefusalSender = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Prepare what works on this router's own parts."""
+        """Create the helpers that use this router."""
         self.refusal_sender = RefusalSender(
             store=self.store,
             socket=self.socket,
@@ -121,7 +122,7 @@
                 self.handle_datagram(datagram)
 
     def handle_datagram(self, datagram: Datagram) -> None:
-        """Read one datagram from a caller and route it."""
+        """Decode and route one datagram of a caller."""
         self.counters.add('caller_datagrams')
         try:
             request = decode_request(datagram.payload)
@@ -138,7 +139,7 @@
             self.route(envelope)
 
     def handle_relayed(self, opened: VerifiedMessage, peer: Address) -> None:
-        """Serve a request that another VM relayed because we own it."""
+        """Serve or route a request that another VM relayed."""
         message = opened.message
         if not isinstance(message, RelayRequest):
             return
@@ -162,7 +163,7 @@
                 self.route(envelope)
 
     def route(self, envelope: Envelope) -> None:
-        """Route a request; every failure is answered at once."""
+        """Route a request and answer at once if that fails."""
         try:
             self.route_or_raise(envelope)
         except RequestFailedError as failure:
@@ -171,7 +172,7 @@
             self.counters.add('unroutable')
 
     def route_or_raise(self, envelope: Envelope) -> None:
-        """Route a request by its cookie, or place it."""
+        """Route a request by its cookie, or place a new flow."""
         service = envelope.request.service
         document = self.store.services.get(service)
         if document is None:
@@ -193,7 +194,7 @@
         *,
         exclude: frozenset[str] = NO_EXCLUSIONS,
     ) -> None:
-        """Choose an upstream for a new flow and go to its owner."""
+        """Choose an upstream for a new flow and forward it to the owner."""
         placement = self.placer.place(document, exclude=exclude)
         if placement is None:
             raise RequestFailedError(
@@ -205,7 +206,7 @@
     def forward_to_owner(
         self, envelope: Envelope, placement: Placement
     ) -> None:
-        """Open a flow where it was placed."""
+        """Open a flow at the owner of the chosen upstream."""
         self.decisions.placed(
             envelope,
             placement.upstream.name,
@@ -226,10 +227,10 @@
         upstream: str,
         max_load: float = NO_LOAD_LIMIT,
     ) -> bool:
-        """Open a flow at another upstream; return False without one.
+        """Open a flow at another upstream; return False if there is none.
 
-        The hops name the upstreams that were tried, and their number ends a
-        search in which every owner names another.
+        The hops name the upstreams that were tried. Their number is limited,
+        so that the search ends when every owner reroutes the flow.
         """
         document = self.store.services.get(envelope.request.service)
         if document is None or len(envelope.hops) >= MAX_PLACEMENT_HOPS:
@@ -247,24 +248,25 @@
         return True
 
     def route_by_cookie(self, envelope: Envelope, cookie: Cookie) -> None:
-        """Go to whoever holds the cookie's epoch, as far as can be known."""
+        """Route a request to the VM that holds its cookie's epoch, if known."""
         service = envelope.request.service
         held = self.owners.find(service, cookie.upstream_tag, cookie.epoch)
         holder = self.members.find(cookie.owner_tag)
-        visits = holder is not None and self.evacuation.can_relay(
+        reachable = holder is not None and self.evacuation.can_relay(
             holder, envelope
         )
-        # The heir has the epoch, and the VM of the cookie the kept answers.
-        keeps = visits and asks_later_block(envelope.request)
+        # After a handover the successor holds the epoch, but the VM named in
+        # the cookie still stores the answers whose blocks are being fetched.
+        stores_answer = reachable and asks_later_block(envelope.request)
         holds = held is not None and held.epochs.find(cookie.epoch) is not None
-        if held is not None and holds and not keeps:
+        if held is not None and holds and not stores_answer:
             self.decisions.followed(envelope, cookie, self.members.local_member)
             self.start_task(envelope, held.serve, envelope, cookie)
             return
         if self.evacuation.is_evacuated(service, cookie):
             self.evacuation.place_evacuated(envelope)
             return
-        if holder is not None and visits:
+        if holder is not None and reachable:
             self.decisions.followed(envelope, cookie, holder)
             self.relay(envelope, holder.peer_address)
             return
@@ -276,7 +278,7 @@
         task: Callable[..., Awaitable[None]],
         *arguments: object,
     ) -> None:
-        """Serve a request in a task whose faults stay with the request."""
+        """Start a task for a request; its errors end only that request."""
         self.nursery.start_soon(
             self.error_handler.run,
             envelope,
@@ -286,7 +288,7 @@
     def route_to_current_owner(
         self, envelope: Envelope, cookie: Cookie
     ) -> None:
-        """Go to the upstream's owner of today: it may be the heir."""
+        """Route a request to the upstream's current owner."""
         document = self.store.services[envelope.request.service]
         upstream = document.upstream_by_tag(cookie.upstream_tag)
         owner = self.placer.owner(document.service, upstream)
@@ -316,10 +318,10 @@
         cookie: Cookie,
         document: ServiceDocument,
     ) -> None:
-        """Place a flow anew when nobody owns its upstream any more.
+        """Place a flow again if its upstream has no owner any more.
 
-        Whoever held its epoch may have run the request, so only one that may
-        run twice goes elsewhere.
+        The VM that held its epoch may have run the request, so the policy
+        decides whether it may run at another upstream.
         """
         forgotten = cookie.age(self.clock.now()) is CookieAge.FORGOTTEN
         if forgotten:
@@ -332,11 +334,11 @@
         raise RequestFailedError(
             verdict=self.unknown_epoch_policy.verdict(),
             reason=Reason.OWNER_LOST,
-            message='the owner that knew this request is gone',
+            message='the VM that held its epoch was lost',
         )
 
     def accept_flow(self, envelope: Envelope, upstream: str) -> None:
-        """Take a flow that was placed at an upstream owned here."""
+        """Accept a flow placed on an upstream of this VM."""
         service = envelope.request.service
         owned = self.owners.find(service, name_tag(upstream))
         cookie = None if envelope.refused else self.open_cookie(envelope)
@@ -358,9 +360,9 @@
         upstream: str,
         cookie: Cookie | None,
     ) -> None:
-        """Pass on a flow whose sender took this VM for the owner.
+        """Relay a flow whose sender mistook this VM for the owner.
 
-        For a moment after a VM joins or leaves, others see other owners.
+        The views of the members differ for a moment after a join or leave.
         """
         document = self.store.services.get(envelope.request.service)
         target = document.upstream(upstream) if document else None
@@ -378,7 +380,7 @@
             self.refusal_sender.refuse(envelope, failure)
 
     def open_cookie(self, envelope: Envelope) -> Cookie | None:
-        """Return a request's cookie, None when it has none of ours."""
+        """Return a request's cookie, None if it has no valid one."""
         if not envelope.request.cookie:
             return None
         try:
@@ -391,9 +393,9 @@
             return None
 
     def reachable(self, member: Member) -> bool:
-        """Return True for a member that packets can be relayed to."""
-        known = self.members.find(member.tag) is not None
-        return known and not self.store.is_out(member.domain)
+        """Return True if packets can be relayed to a member."""
+        is_member = self.members.find(member.tag) is not None
+        return is_member and not self.store.is_out(member.domain)
 
     def relay(
         self,
@@ -402,7 +404,7 @@
         *,
         upstream: str = '',
     ) -> None:
-        """Pass a datagram on; its caller repeats it when it is lost."""
+        """Relay a datagram; its caller retransmits it if it is lost."""
         self.counters.add('relayed_out')
         message = RelayRequest(
             raw=envelope.raw,
@@ -416,26 +418,26 @@
         self.channel.send(message, peer)
 
     def reply(self, envelope: Envelope, answer: Answer) -> None:
-        """Send an answer straight to the caller.
+        """Send an answer directly to the caller.
 
-        Anybody can write any address into a datagram. Until a cookie came
-        back from there, an answer has at most three times the size of its
-        request (RFC 7252, section 11.3), so that nobody is flooded by us.
+        The source address of a datagram can be spoofed. Until a cookie has
+        come back from an address, an answer has at most 3 times the size of
+        its request (RFC 7252, section 11.3), to prevent amplification attacks.
         """
         self.decisions.answered(envelope, answer)
         encoded = encode_answer(envelope.request, answer)
-        most = MAX_AMPLIFICATION * len(envelope.raw)
-        if not envelope.verified and len(encoded) > most:
+        max_bytes = MAX_AMPLIFICATION * len(envelope.raw)
+        if not envelope.verified and len(encoded) > max_bytes:
             self.counters.add('answers_shortened')
             encoded = encode_minimal_answer(envelope.request, answer)
-            if len(encoded) > most:
+            if len(encoded) > max_bytes:
                 self.counters.add('answers_withheld')
                 return
         self.socket.send(encoded, envelope.caller)
 
 
 def mark_verified(envelope: Envelope, cookie: Cookie | None) -> Envelope:
-    """Mark a request whose cookie was given to the address it comes from."""
+    """Mark a request as verified if its cookie was issued to its address."""
     if cookie is None or cookie.address_tag != address_tag(envelope.caller):
         return envelope
     return attrs.evolve(envelope, verified=True)
