--- a/burdocksill/flows/cookie.py
+++ b/burdocksill/flows/cookie.py
@@ -1,7 +1,7 @@
-"""The signed cookie that names a flow's upstream, owner and epoch.
+"""Signed cookies that name a flow's upstream, owner and epoch.
 
-The caller carries it in the Echo option (RFC 9175), so that any entry VM can
-route a packet without any state of its own.
+The caller sends the cookie in the Echo option (RFC 9175), so that any entry VM
+can route a packet without per-flow state.
 """
 
 import enum
@@ -16,7 +16,7 @@
 from burdocksill.flows.keys import KeyHolder
 from burdocksill.network.protocols import Address, WallClock
 
-# key id, upstream tag, owner tag, epoch, flow id, issue time, address tag.
+# Key id, upstream tag, owner tag, epoch, flow id, issue time, address tag.
 LAYOUT: Final = struct.Struct('>B4s4s8s6sI3s')
 MAC_BYTES: Final = 10
 COOKIE_BYTES: Final = LAYOUT.size + MAC_BYTES
@@ -25,29 +25,31 @@
 EPOCH_BYTES: Final = 8
 FLOW_ID_BYTES: Final = 6
 FLOW_ID_START: Final = 1 + 2 * TAG_BYTES + EPOCH_BYTES
-# Where a cookie that this VM sealed itself holds its flow id.
+# Position of the flow id in a cookie. Only for cookies that this VM sealed, as
+# the signature is not checked.
 FLOW_ID_SLICE: Final = slice(FLOW_ID_START, FLOW_ID_START + FLOW_ID_BYTES)
 
 # A request with a cookie older than this is not dispatched.
 COOKIE_LIFETIME_SECONDS: Final = 300
-# RFC 7252, section 4.8.2: no datagram of an exchange is older than this, so a
-# cookie past its lifetime and this can belong to no request still awaited.
+# EXCHANGE_LIFETIME of RFC 7252, section 4.8.2: no datagram of an exchange is
+# older. After the cookie lifetime and this time, no caller awaits a request
+# with the cookie any more.
 EXCHANGE_LIFETIME_SECONDS: Final = 247
 
 
 class CookieAge(enum.Enum):
-    """Say how far a cookie is in its life."""
+    """Classify the age of a cookie."""
 
     VALID = 'valid'
-    # Its requests are not dispatched, but an earlier copy may have run.
+    # Requests with it are not dispatched, but an earlier copy may have run.
     EXPIRED = 'expired'
-    # No copy of a request with it can still be awaited by anyone.
+    # No caller can still await a request with it.
     FORGOTTEN = 'forgotten'
 
 
 @attrs.frozen(kw_only=True)
 class Cookie:
-    """Hold what a cookie says; tags are short hashes of names."""
+    """Hold the fields of a cookie; tags are short hashes of names."""
 
     upstream_tag: bytes
     owner_tag: bytes
@@ -57,7 +59,7 @@
     address_tag: bytes
 
     def age(self, now: float) -> CookieAge:
-        """Say how far the cookie is in its life."""
+        """Return the age class of the cookie at a time in seconds."""
         seconds = now - self.issued
         if seconds < COOKIE_LIFETIME_SECONDS:
             return CookieAge.VALID
@@ -70,14 +72,14 @@
     """Seal and open cookies of one service."""
 
     def seal(self, *, service: str, cookie: Cookie) -> bytes:
-        """Write and sign a cookie."""
+        """Encode and sign a cookie."""
 
     def open(self, *, service: str, sealed: bytes) -> Cookie:
-        """Check and read a cookie; raise CookieInvalidError."""
+        """Verify and decode a cookie; raise CookieInvalidError."""
 
 
 def name_tag(name: str) -> bytes:
-    """Return the short hash by which a cookie names a VM or an upstream."""
+    """Return the short hash that stands for a VM or upstream name."""
     return hashlib.blake2b(name.encode(), digest_size=TAG_BYTES).digest()
 
 
@@ -89,17 +91,18 @@
 
 @attrs.define(kw_only=True)
 class SignedCookieSealer:
-    """Sign cookies with keyed BLAKE2 over the service's name and the fields.
+    """Sign cookies with keyed BLAKE2 over the service name and the fields.
 
-    The name is signed but not carried: a cookie of another service fails its
-    check, so it cannot lead a packet to the wrong service.
+    The service name is signed but not part of the cookie. So a cookie of
+    another service fails verification and cannot route a packet to the wrong
+    service.
     """
 
     keys: KeyHolder
     clock: WallClock
 
     def seal(self, *, service: str, cookie: Cookie) -> bytes:
-        """Write and sign a cookie."""
+        """Encode and sign a cookie."""
         key = self.keys.require().signing
         body = LAYOUT.pack(
             key.key_id,
@@ -113,11 +116,11 @@
         return body + sign(key.secret_bytes, service, body)
 
     def open(self, *, service: str, sealed: bytes) -> Cookie:
-        """Check and read a cookie; raise CookieInvalidError."""
+        """Verify and decode a cookie; raise CookieInvalidError."""
         if len(sealed) != COOKIE_BYTES:
             raise CookieInvalidError(
                 message=f'the cookie has {len(sealed)} bytes',
-                hint=f'return all {COOKIE_BYTES} bytes as they were given',
+                hint=f'send all {COOKIE_BYTES} bytes as they were received',
             )
         body, mac = sealed[: LAYOUT.size], sealed[LAYOUT.size :]
         fields = LAYOUT.unpack(body)
@@ -128,7 +131,7 @@
         ):
             raise CookieInvalidError(
                 message='the cookie was not signed for this service',
-                hint='ask for a new one by a request without a cookie',
+                hint='send a request without a cookie to get a new one',
             )
         return Cookie(
             upstream_tag=fields[1],
