--- a/burdocksill/flows/keys.py
+++ b/burdocksill/flows/keys.py
@@ -1,4 +1,4 @@
-"""Fleet keys: they come from the platform and rotate with overlap."""
+"""Fleet keys, which the platform stores and which rotate with overlap."""
 
 import base64
 import secrets
@@ -28,7 +28,7 @@
 
 @attrs.frozen(kw_only=True)
 class KeyRing:
-    """Hold the signing key and all keys that are still accepted."""
+    """Hold the signing key and all keys that are accepted."""
 
     current: int
     keys: tuple[FleetKey, ...]
@@ -42,7 +42,7 @@
 
     @property
     def signing(self) -> FleetKey:
-        """Return the key that signs."""
+        """Return the signing key; raise KeysMissingError without it."""
         key = self.find(self.current)
         if key is None:
             raise KeysMissingError(
@@ -54,35 +54,35 @@
 
 @attrs.define(kw_only=True)
 class KeyHolder:
-    """Hold the ring in force on this VM, if any."""
+    """Hold the current key ring of this VM, if it has one."""
 
     ring: KeyRing | None = None
     revision: int = 0
 
     def require(self) -> KeyRing:
-        """Return the ring or say that there is none."""
+        """Return the key ring; raise KeysMissingError without one."""
         if self.ring is None:
             raise KeysMissingError(
-                message='this VM has learned no fleet keys yet',
-                hint='check that the platform or a peer can be reached',
+                message='this VM has received no fleet keys yet',
+                hint='check that the platform or a peer is reachable',
             )
         return self.ring
 
 
 def decode_ring(encoded: bytes) -> KeyRing:
-    """Read a ring as the platform stores it."""
+    """Decode a key ring from its stored form."""
     return msgspec.json.decode(encoded, type=KeyRing)
 
 
 def encode_ring(ring: KeyRing) -> bytes:
-    """Write a ring as the platform stores it."""
+    """Encode a key ring in its stored form."""
     return msgspec.json.encode(ring)
 
 
 def rotate(ring: KeyRing | None) -> KeyRing:
-    """Make a new signing key and keep the one before it for the overlap."""
-    kept = () if ring is None else (ring.signing,)
+    """Return a ring with a new signing key and the previous one."""
+    previous = () if ring is None else (ring.signing,)
     key_id = 1 if ring is None else (ring.current + 1) % KEY_ID_LIMIT
     secret = base64.b64encode(secrets.token_bytes(SECRET_BYTES)).decode()
-    fresh = FleetKey(key_id=key_id, secret=secret)
-    return KeyRing(current=key_id, keys=(fresh, *kept))
+    new_key = FleetKey(key_id=key_id, secret=secret)
+    return KeyRing(current=key_id, keys=(new_key, *previous))
