--- a/burdocksill/flows/exceptions.py
+++ b/burdocksill/flows/exceptions.py
@@ -4,18 +4,18 @@
 
 
 class CookieInvalidError(BurdocksillError):
-    """Say that a cookie is forged, truncated or of another service."""
+    """Report a cookie that is forged, truncated or of another service."""
 
     code = 'burdocksill.E301'
 
 
 class CookieExpiredError(BurdocksillError):
-    """Say that a genuine cookie is older than its lifetime."""
+    """Report a valid cookie that is older than its lifetime."""
 
     code = 'burdocksill.E302'
 
 
 class KeysMissingError(BurdocksillError):
-    """Say that this VM has no fleet keys yet."""
+    """Report that this VM has no fleet keys yet."""
 
     code = 'burdocksill.E303'
