--- a/burdocksill/requests/window.py
+++ b/burdocksill/requests/window.py
@@ -1,4 +1,4 @@
-"""The at-most-once window: every token seen under one epoch."""
+"""At-most-once window: all request tokens received under one epoch."""
 
 import enum
 import hashlib
@@ -15,19 +15,19 @@
 from burdocksill.requests.messages import Answer, CallerRequest
 from burdocksill.requests.verdict import Reason, Verdict
 
-# A token is remembered until no copy of its request can be awaited.
+# A token is stored until no caller can await a copy of its request.
 RETENTION_SECONDS: Final = COOKIE_LIFETIME_SECONDS + EXCHANGE_LIFETIME_SECONDS
-# The answer itself is kept only while its caller may still repeat the
-# request; after that a copy is told that the request ran.
+# An answer is stored in full only while its caller may retransmit the request.
+# A later duplicate is answered with the verdict alone.
 ANSWER_RETENTION_SECONDS: Final = 60
 DIGEST_BYTES: Final = 4
 
-# One for all: a window holds hundreds of thousands of them.
+# Shared by all entries, as a window holds hundreds of thousands of them.
 DROPPED_ANSWER: Final = Answer(
     code='BAD_GATEWAY',
     verdict=Verdict.RAN,
     reason=Reason.ANSWER_DROPPED,
-    message='the request ran; its answer is no longer kept',
+    message='the request ran; its answer is not stored',
     max_age_seconds=0,
 )
 
@@ -35,18 +35,18 @@
 
 
 class ClaimState(enum.StrEnum):
-    """Say what the window knows of a request."""
+    """List the states of a request in the window."""
 
     FRESH = 'fresh'
     RUNNING = 'running'
     SETTLED = 'settled'
-    # The token stands for another request already.
+    # The token is in use by another request.
     MISMATCH = 'mismatch'
 
 
 @attrs.frozen(kw_only=True)
 class Claim:
-    """Hold the window's word; `answer` is set when it is settled."""
+    """Hold the state of a request, and its answer if it is settled."""
 
     state: ClaimState
     answer: Answer | None = None
@@ -54,46 +54,46 @@
 
 @attrs.define(kw_only=True)
 class WindowEntry:
-    """Remember one request; it is running until it has an answer."""
+    """Store one request; it is running until it has an answer."""
 
     expires_at: float
     digest: bytes
     answer: Answer | None = None
-    # It runs at the former holder of the epoch, which tells its end.
+    # It runs at the previous owner, which will report its answer.
     runs_at_previous_owner: bool = False
 
 
 @attrs.frozen(kw_only=True)
 class AnswerExpiry:
-    """Name an answer and the time until which it is kept whole."""
+    """Hold the key of an answer and the end of its full retention."""
 
     expires_at: float
     key: RequestKey
 
 
 class RequestWindow(Protocol):
-    """Remember requests so that none runs twice."""
+    """Store requests so that none runs twice."""
 
     def claim(self, key: RequestKey, digest: bytes, *, now: float) -> Claim:
-        """Claim a request for dispatch, or tell what became of it."""
+        """Claim a new request for dispatch; return the state it had."""
 
     def find(self, key: RequestKey, digest: bytes) -> Claim:
-        """Tell what is known of a request without claiming it."""
+        """Return the state of a request without claiming it."""
 
     def settle(self, key: RequestKey, answer: Answer, *, now: float) -> None:
-        """Keep a request's final answer, refusals included."""
+        """Store a request's final answer, which may be a refusal."""
 
     def drop_expired(self, now: float) -> None:
-        """Drop what nobody can ask for any more."""
+        """Drop expired requests and the payloads of expired answers."""
 
     def entries(self) -> Iterator[tuple[RequestKey, WindowEntry]]:
-        """Return what is remembered, oldest first, for a handover."""
+        """Return all entries, oldest first, for a handover."""
 
     def restore(self, key: RequestKey, entry: WindowEntry) -> None:
-        """Take an entry that the former holder of the epoch remembered."""
+        """Add an entry handed over by the previous owner."""
 
     def __len__(self) -> int:
-        """Return how many requests are remembered."""
+        """Return the number of stored requests."""
 
 
 def request_key(flow_id: bytes, token: bytes) -> RequestKey:
@@ -102,7 +102,7 @@
 
 
 def request_digest(request: CallerRequest) -> bytes:
-    """Return a short hash that tells requests with one token apart."""
+    """Return a short hash to distinguish requests with the same token."""
     digest = hashlib.blake2b(request.payload, digest_size=DIGEST_BYTES)
     digest.update(request.method.encode())
     for part in (*request.path, *request.query):
@@ -112,25 +112,25 @@
 
 
 def expired_answer(answer: Answer) -> Answer:
-    """Return what is remembered of an answer after its retention."""
+    """Return what remains of an answer after its retention."""
     return DROPPED_ANSWER if answer.verdict is Verdict.RAN else answer
 
 
 @attrs.define(kw_only=True)
 class TokenWindow:
-    """Keep every token for as long as a copy of it can be awaited.
+    """Store every token for as long as a copy of its request can arrive.
 
-    A copy that was delayed or sprayed over another entry VM shows as a second
-    request with the same flow and token. It cannot run again, because only
-    the holder of the epoch dispatches and it claims each token here first.
+    A copy that was delayed or came through another entry VM has the same flow
+    and token as the first. It cannot run again, because only the VM that holds
+    the epoch dispatches and it claims each token here first.
     """
 
-    # Claims come in the order of time, so the oldest entries stand first.
+    # In the order of the claims, so that the oldest entries come first.
     entries_by_key: dict[RequestKey, WindowEntry] = attrs.field(factory=dict)
     answer_expiries: deque[AnswerExpiry] = attrs.field(factory=deque)
 
     def claim(self, key: RequestKey, digest: bytes, *, now: float) -> Claim:
-        """Claim a request for dispatch, or tell what became of it."""
+        """Claim a new request for dispatch; return the state it had."""
         claim = self.find(key, digest)
         if claim.state is ClaimState.FRESH:
             expires_at = now + RETENTION_SECONDS
@@ -140,7 +140,7 @@
         return claim
 
     def find(self, key: RequestKey, digest: bytes) -> Claim:
-        """Tell what is known of a request without claiming it."""
+        """Return the state of a request without claiming it."""
         entry = self.entries_by_key.get(key)
         if entry is None:
             return Claim(state=ClaimState.FRESH)
@@ -151,7 +151,7 @@
         return Claim(state=ClaimState.SETTLED, answer=entry.answer)
 
     def settle(self, key: RequestKey, answer: Answer, *, now: float) -> None:
-        """Keep a request's final answer, refusals included."""
+        """Store a request's final answer, which may be a refusal."""
         entry = self.entries_by_key.get(key)
         if entry is None or entry.answer is not None:
             return
@@ -162,7 +162,7 @@
         )
 
     def drop_expired(self, now: float) -> None:
-        """Drop what nobody can ask for any more."""
+        """Drop expired requests and the payloads of expired answers."""
         while self.answer_expiries and self.answer_expiries[0].expires_at < now:
             entry = self.entries_by_key.get(self.answer_expiries.popleft().key)
             if entry is not None and entry.answer is not None:
@@ -176,11 +176,11 @@
             self.entries_by_key.pop(old)
 
     def entries(self) -> Iterator[tuple[RequestKey, WindowEntry]]:
-        """Return what is remembered, oldest first, for a handover."""
+        """Return all entries, oldest first, for a handover."""
         return iter(self.entries_by_key.items())
 
     def restore(self, key: RequestKey, entry: WindowEntry) -> None:
-        """Take an entry that the former holder of the epoch remembered."""
+        """Add an entry handed over by the previous owner."""
         entry.runs_at_previous_owner = entry.answer is None
         self.entries_by_key[key] = entry
         if entry.answer is not None:
@@ -192,34 +192,34 @@
             )
 
     def __len__(self) -> int:
-        """Return how many requests are remembered."""
+        """Return the number of stored requests."""
         return len(self.entries_by_key)
 
 
 @attrs.define(kw_only=True)
 class NoDeduplicationWindow:
-    """Remember nothing: the naive baseline of the control runs."""
+    """Store nothing: baseline without deduplication, for control runs."""
 
     def claim(self, key: RequestKey, digest: bytes, *, now: float) -> Claim:
-        """Let every copy run."""
+        """Return FRESH, so that every copy runs."""
         return Claim(state=ClaimState.FRESH)
 
     def find(self, key: RequestKey, digest: bytes) -> Claim:
-        """Know nothing."""
+        """Return FRESH for every request."""
         return Claim(state=ClaimState.FRESH)
 
     def settle(self, key: RequestKey, answer: Answer, *, now: float) -> None:
-        """Keep nothing."""
+        """Store nothing."""
 
     def drop_expired(self, now: float) -> None:
-        """Have nothing to drop."""
+        """Do nothing."""
 
     def entries(self) -> Iterator[tuple[RequestKey, WindowEntry]]:
         """Return nothing."""
         return iter(())
 
     def restore(self, key: RequestKey, entry: WindowEntry) -> None:
-        """Keep nothing."""
+        """Store nothing."""
 
     def __len__(self) -> int:
         """Return 0."""
