--- a/burdocksill/requests/dispatch.py
+++ b/burdocksill/requests/dispatch.py
@@ -1,4 +1,4 @@
-"""Carry one request to its upstream within its deadline."""
+"""Dispatch of requests to upstreams within a deadline."""
 
 from typing import Protocol
 
@@ -15,7 +15,7 @@
 
 
 class Dispatcher(Protocol):
-    """Run a request that the at-most-once window has let through."""
+    """Dispatch a request that was claimed in the at-most-once window."""
 
     async def dispatch(
         self,
@@ -29,7 +29,7 @@
 
 @attrs.define(kw_only=True)
 class DeadlineDispatcher:
-    """Take a slot, send the request and give up at its deadline."""
+    """Acquire a slot and send the request; fail at its deadline."""
 
     limiter: Limiter
     client: UpstreamClient
@@ -56,7 +56,7 @@
         flow_id: bytes,
         deadline: float,
     ) -> UpstreamAnswer:
-        """Wait for a slot and exchange the request until its deadline."""
+        """Acquire a slot, send the request and await the answer."""
         async with self.limiter.slot(deadline=deadline):
             try:
                 with trio.fail_at(deadline):
@@ -64,7 +64,7 @@
                         upstream_request(
                             request,
                             flow_id=flow_id,
-                            # The wait for the slot has used some of it.
+                            # The wait for a slot has used part of the time.
                             timeout_seconds=deadline - trio.current_time(),
                         ),
                     )
