--- a/burdocksill/requests/messages.py
+++ b/burdocksill/requests/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers as the slices hand them to each other."""
+"""Requests and answers as exchanged between packages."""
 
 from typing import Final
 
@@ -7,7 +7,7 @@
 from burdocksill.network.protocols import Address
 from burdocksill.requests.verdict import Reason, Verdict
 
-# A GET of this path brings a fresh cookie and reaches no upstream.
+# A GET of this path returns a new cookie and is not sent to an upstream.
 COOKIE_PATH: Final = ('.well-known', 'burdocksill', 'cookie')
 # RFC 7959, section 2.2: a block has 2 ** (exponent + 4) bytes, at most 1024.
 MAX_EXPONENT: Final = 6
@@ -16,7 +16,7 @@
 
 @attrs.frozen(kw_only=True)
 class Block:
-    """Hold a block option: which block, its size, and whether more follow."""
+    """Hold a block option: block number, size and whether more follow."""
 
     number: int
     more: bool = False
@@ -24,20 +24,20 @@
 
     @property
     def size(self) -> int:
-        """Return the size of a whole block in bytes."""
+        """Return the size of a full block in bytes."""
         return 1 << (self.exponent + EXPONENT_BASE)
 
     @property
     def start(self) -> int:
-        """Return where the block starts in its body."""
+        """Return the offset of the block in its body."""
         return self.number * self.size
 
 
 @attrs.frozen(kw_only=True)
 class CallerRequest:
-    """Hold a caller's request, read from one datagram.
+    """Hold a caller's request, decoded from one datagram.
 
-    `timeout_seconds` is what the caller still waits, 0 when it did not say.
+    `timeout_seconds` is the caller's remaining time, 0 if not given.
     """
 
     service: str
@@ -62,13 +62,13 @@
 
     @property
     def idempotent(self) -> bool:
-        """Return True for methods that RFC 7252 and 8132 call idempotent."""
+        """Return True for idempotent methods (RFC 7252, RFC 8132)."""
         return self.method not in {'POST', 'PATCH'}
 
 
 @attrs.frozen(kw_only=True)
 class Answer:
-    """Hold what goes back to a caller."""
+    """Hold an answer to a caller."""
 
     code: str
     verdict: Verdict
@@ -88,20 +88,20 @@
 
 @attrs.frozen(kw_only=True)
 class Envelope:
-    """Hold a request with where it came from and which VMs passed it on.
+    """Hold a request, its caller's address and the VMs that relayed it.
 
-    `refused` says that the holder of its epoch refused it for good: it was
-    not run, and only a new flow is wanted.
+    `refused` means that the holder of its epoch has refused it as "not run",
+    and that the request is only to open a new flow.
     """
 
     request: CallerRequest
     caller: Address
     hops: tuple[str, ...] = ()
     raw: bytes = b''
-    # The cookie shows that the caller receives at the address it sends from.
+    # The cookie proves that the caller receives at its source address.
     verified: bool = False
     refused: bool = False
-    # Another VM held its epoch: it may have run there, whatever is done here.
+    # Another VM held its epoch, so it may have run there.
     may_have_run_elsewhere: bool = False
-    # How often this VM has routed the packet again.
+    # Number of times that this VM has routed the packet again.
     reroutes: int = 0
