--- a/burdocksill/requests/mapping.py
+++ b/burdocksill/requests/mapping.py
@@ -1,4 +1,4 @@
-"""CoAP requests to HTTP/2 and back (RFC 7252, section 10; RFC 8075)."""
+"""Mapping between CoAP and HTTP/2 (RFC 7252, section 10; RFC 8075)."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -64,7 +64,7 @@
     flow_id: bytes,
     timeout_seconds: float,
 ) -> UpstreamRequest:
-    """Write a caller's request as HTTP/2 carries it."""
+    """Convert a caller's request to an HTTP/2 request."""
     path = '/' + '/'.join(quote(part, safe='') for part in request.path)
     if request.query:
         path += '?' + '&'.join(quote(part, safe='=') for part in request.query)
@@ -79,7 +79,7 @@
 
 
 def caller_answer(request: CallerRequest, received: UpstreamAnswer) -> Answer:
-    """Write an upstream's whole answer as CoAP carries it."""
+    """Convert an upstream's complete answer to a CoAP answer."""
     if received.status == HTTP_UNAVAILABLE:
         return Answer(
             code='SERVICE_UNAVAILABLE',
@@ -99,9 +99,9 @@
 
 def coap_code(method: str, status: int) -> str:
     """Return the CoAP code of an HTTP status."""
-    known = COAP_CODES.get(status)
-    if known is not None:
-        return known
+    mapped = COAP_CODES.get(status)
+    if mapped is not None:
+        return mapped
     if status < HTTP_ERROR:
         return SUCCESS_CODES.get(method, 'CHANGED')
     return 'INTERNAL_SERVER_ERROR'
