--- a/burdocksill/requests/cancellation.py
+++ b/burdocksill/requests/cancellation.py
@@ -1,4 +1,4 @@
-"""Cancel requests that run, as their callers wish (same token)."""
+"""Cancellation of running requests by their callers (same token)."""
 
 from collections.abc import Awaitable, Callable
 
@@ -14,17 +14,17 @@
 
 @attrs.define(kw_only=True)
 class Cancellations:
-    """Hold one scope for each request that runs."""
+    """Hold a cancel scope for each running request."""
 
     scopes: dict[RequestKey, trio.CancelScope] = attrs.field(factory=dict)
 
     async def run(
         self, key: RequestKey, work: Callable[[], Awaitable[Answer]]
     ) -> Answer:
-        """Return the work's answer, or at once what a cancelled one gets.
+        """Return the answer of the work, or a refusal once it is cancelled.
 
-        Leaving the scope resets the stream (CANCEL), so that the upstream
-        may stop too; whether it did is not known.
+        Leaving the scope resets the stream (CANCEL), so that the upstream may
+        stop. Whether the request has run is unknown.
         """
         with trio.CancelScope() as scope:
             self.scopes[key] = scope
@@ -39,7 +39,7 @@
         return refusal(failure)
 
     def cancel(self, key: RequestKey) -> None:
-        """Cancel a request if it still runs."""
+        """Cancel a request if it is running."""
         scope = self.scopes.get(key)
         if scope is not None:
             scope.cancel()
