--- a/burdocksill/requests/exceptions.py
+++ b/burdocksill/requests/exceptions.py
@@ -10,26 +10,26 @@
 
 
 class MalformedDatagramError(BurdocksillError):
-    """Say that a datagram is not a CoAP message we can read."""
+    """Report a datagram that is not a valid CoAP message."""
 
     code = 'burdocksill.E401'
 
 
 @attrs.define(kw_only=True)
 class UnsupportedRequestError(BurdocksillError):
-    """Say that a request asks in a way that we must refuse."""
+    """Report a request that CoAP requires to be refused."""
 
     code: ClassVar[str] = 'burdocksill.E403'
 
     request: CallerRequest
     coap_code: str
     message: str
-    hint: str = 'see docs/reference/coap.md for what is understood'
+    hint: str = 'see docs/reference/coap.md for supported options'
 
 
 @attrs.define(kw_only=True)
 class RequestFailedError(BurdocksillError):
-    """End a request with a verdict and a time to come back."""
+    """End a request with a verdict and a retry delay in seconds."""
 
     code: ClassVar[str] = 'burdocksill.E402'
 
@@ -40,6 +40,6 @@
     retry_after_seconds: float = 1.0
 
     def __attrs_post_init__(self) -> None:
-        """Say the reason where no message was given."""
+        """Set the message from the reason and verdict if none is given."""
         if not self.message:
             self.message = f'{self.reason.value} ({self.verdict.value})'
