--- a/burdocksill/requests/refusals.py
+++ b/burdocksill/requests/refusals.py
@@ -1,4 +1,4 @@
-"""Final answers for requests that are refused or given up on."""
+"""Final answers to requests that were refused or have failed."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -13,8 +13,8 @@
 from burdocksill.requests.messages import Answer
 from burdocksill.requests.verdict import Reason, Verdict
 
-# RFC 7252: 5.03 with Max-Age says "not run, come back then"; 5.04 says that
-# nobody can tell whether the request ran.
+# RFC 7252: 5.03 with Max-Age means "not run, retry after Max-Age"; 5.04 means
+# that the request may have run.
 VERDICT_CODES: Final[Mapping[Verdict, str]] = MappingProxyType(
     {
         Verdict.NOT_RUN: 'SERVICE_UNAVAILABLE',
@@ -42,7 +42,7 @@
 
 
 def with_uncertain_verdict(answer: Answer, verdict: Verdict) -> Answer:
-    """Return a refusal with the verdict of a VM that cannot know."""
+    """Return a "not run" refusal with the verdict for an unknown epoch."""
     if answer.verdict is not Verdict.NOT_RUN:
         return answer
     code = answer.code
@@ -52,7 +52,7 @@
 
 
 def refusal(failure: RequestFailedError, *, cookie: bytes = b'') -> Answer:
-    """Write the final answer of a request that failed."""
+    """Return the final answer to a request that failed."""
     fallback = VERDICT_CODES[failure.verdict]
     return Answer(
         code=REASON_CODES.get(failure.reason, fallback),
@@ -65,7 +65,7 @@
 
 
 def unsupported_answer(error: UnsupportedRequestError) -> Answer:
-    """Write the answer to a request that CoAP wants refused."""
+    """Return the answer to a request that CoAP requires to be refused."""
     return Answer(
         code=error.coap_code,
         verdict=Verdict.NOT_RUN,
