--- a/burdocksill/requests/rejection.py
+++ b/burdocksill/requests/rejection.py
@@ -1,4 +1,4 @@
-"""What CoAP answers to a datagram that holds no request (RFC 7252)."""
+"""CoAP answers to datagrams that are not requests (RFC 7252)."""
 
 import enum
 from typing import Final
@@ -11,7 +11,7 @@
 
 
 class MessageType(enum.IntEnum):
-    """Name the four types of messages (section 3)."""
+    """List the four message types (RFC 7252, section 3)."""
 
     CON = 0
     NON = 1
@@ -20,12 +20,12 @@
 
 
 def reset_for(payload: bytes) -> bytes:
-    """Return the Reset that a datagram gets, empty when it gets nothing.
+    """Return the Reset for a datagram, empty if it is ignored.
 
-    A confirmable message that cannot be read, an empty one (a ping) and a
-    response that nobody awaits are reset (sections 4.2 and 4.3). Any other is
-    ignored, and so is whatever has another version (section 3). A Reset has
-    four bytes: never more than what it answers.
+    A malformed confirmable message, an empty one (a ping) and an unexpected
+    response are answered with a Reset (sections 4.2 and 4.3). All others, and
+    those of another version, are ignored (section 3). A Reset has four bytes,
+    so it is never larger than the datagram.
     """
     if not is_confirmable(payload):
         return b''
@@ -34,7 +34,7 @@
 
 
 def is_confirmable(payload: bytes) -> bool:
-    """Return True for a confirmable message of our version."""
+    """Return True for a confirmable message of the supported version."""
     if len(payload) < HEADER_BYTES:
         return False
     version = payload[0] >> VERSION_SHIFT
