--- a/burdocksill/requests/retries.py
+++ b/burdocksill/requests/retries.py
@@ -1,49 +1,49 @@
-"""How many retries may be added to the load that callers bring."""
+"""Retry budgets, which limit the load that retries add."""
 
 from typing import Final, Protocol
 
 import attrs
 
 RETRY_RATIO: Final = 0.1
-# A budget holds a few retries at most: saved up in quiet hours, more would
-# come out as one burst just when the upstreams are short of room.
+# A larger budget would fill at low load and then allow a burst of retries just
+# when the upstreams are overloaded.
 MAX_TOKENS: Final = 5.0
 
 
 class RetryBudget(Protocol):
-    """Decide whether a request that was not run may be retried at once."""
+    """Decide whether a request that was not run may be retried."""
 
     def deposit(self) -> None:
-        """Count a success."""
+        """Add to the budget for a success."""
 
     def has_token(self) -> bool:
-        """Return True when one retry would be within the budget."""
+        """Return True if one retry is within the budget."""
 
     def withdraw(self) -> bool:
-        """Return True when one retry is within the budget."""
+        """Take a token for one retry; return False if there is none."""
 
 
 @attrs.define(kw_only=True)
 class RatioRetryBudget:
-    """Allow retries as a share of successes.
+    """Allow retries as a ratio of successes.
 
-    When most requests are refused, retries multiply the load that caused the
-    refusals. Without successes this budget runs dry, so they can't.
+    If most requests are refused, retries multiply the load that caused the
+    refusals. Without successes this budget is used up, which prevents that.
     """
 
     ratio: float = RETRY_RATIO
     tokens: float = MAX_TOKENS
 
     def deposit(self) -> None:
-        """Count a success."""
+        """Add a fraction of a token for a success."""
         self.tokens = min(self.tokens + self.ratio, MAX_TOKENS)
 
     def has_token(self) -> bool:
-        """Return True when one retry would be within the budget."""
+        """Return True if one retry is within the budget."""
         return self.tokens >= 1
 
     def withdraw(self) -> bool:
-        """Return True when one retry is within the budget."""
+        """Take a token for one retry; return False if there is none."""
         if not self.has_token():
             return False
         self.tokens -= 1
@@ -52,10 +52,10 @@
 
 @attrs.define(kw_only=True)
 class UnlimitedRetryBudget:
-    """Allow every retry: the baseline of the control runs."""
+    """Allow every retry: baseline for control runs."""
 
     def deposit(self) -> None:
-        """Count nothing."""
+        """Do nothing."""
 
     def has_token(self) -> bool:
         """Return True always."""
