--- a/burdocksill/requests/verdict.py
+++ b/burdocksill/requests/verdict.py
@@ -1,10 +1,10 @@
-"""Whether a request may have run."""
+"""Verdicts on whether a request has run, and reasons for refusals."""
 
 import enum
 
 
 class Verdict(enum.StrEnum):
-    """Say what is known of a request's effect at the upstream."""
+    """List what may be known of a request's execution at the upstream."""
 
     NOT_RUN = 'not-run'
     RAN = 'ran'
@@ -12,7 +12,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Name why a request was refused or given up on."""
+    """List the reasons for which a request is refused or fails."""
 
     COOKIE_NEEDED = 'cookie-needed'
     COOKIE_INVALID = 'cookie-invalid'
@@ -33,7 +33,7 @@
     STOPPING = 'stopping'
     BAD_REQUEST = 'bad-request'
     ANSWER_TOO_LARGE = 'answer-too-large'
-    # The request ran, but the blocks not fetched yet are gone.
+    # The request ran, but the remaining blocks of its answer are lost.
     ANSWER_LOST = 'answer-lost'
     BODY_INCOMPLETE = 'body-incomplete'
     BODY_TOO_LARGE = 'body-too-large'
