--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -1,4 +1,4 @@
-"""Bodies and answers larger than one datagram, in blocks (RFC 7959)."""
+"""Block-wise transfer of large bodies and answers (RFC 7959)."""
 
 from random import Random
 from typing import Final, Protocol
@@ -12,24 +12,24 @@
 
 ETAG_BYTES: Final = 8
 MAX_BODY_BYTES: Final = 4 * 1024 * 1024
-# RFC 7252, section 4.8.2 (MAX_TRANSMIT_WAIT): a caller that was silent for
-# longer has given up its repeats.
+# MAX_TRANSMIT_WAIT of RFC 7252, section 4.8.2: after this time without a
+# request the caller has stopped its retransmissions.
 IDLE_TIMEOUT_SECONDS: Final = 93
-# A caller that asks for no block for this long is not waited for.
+# A shutdown does not wait for a caller that requests no block for this long.
 FETCH_TIMEOUT_SECONDS: Final = 5
-# How often a VM that stops looks whether its answers were fetched.
+# Interval at which a shutdown checks whether all answers were fetched.
 POLL_SECONDS: Final = 0.1
-# One VM keeps at most this much of answers and bodies in transfer.
+# Limit of one VM, separately for answers and for bodies in transfer.
 MAX_STORED_BYTES: Final = 32 * 1024 * 1024
-# New requests are refused before they run while less than this is free, so
-# that the answers of those already running still find room.
+# New requests are refused while less than this is free, so that the answers of
+# requests in progress can still be stored.
 HEADROOM_BYTES: Final = 8 * 1024 * 1024
 CONTINUE: Final = 'CONTINUE'
 
 
 @attrs.frozen(kw_only=True)
 class TransferKey:
-    """Name one transfer; `tag` is its ETag or Request-Tag."""
+    """Identify a transfer; `tag` is its ETag or Request-Tag."""
 
     service: str
     flow_id: bytes
@@ -38,7 +38,7 @@
 
 @attrs.define(kw_only=True)
 class StoredAnswer:
-    """Hold a whole answer until its blocks were fetched."""
+    """Hold a complete answer until all its blocks are fetched."""
 
     answer: Answer
     used_at: float
@@ -50,33 +50,33 @@
     """Hold the blocks of a request's body that have arrived."""
 
     used_at: float
-    # By where each block starts, so that a change of block size is harmless.
+    # By the offset of each block, so that the block size may change.
     blocks: dict[int, bytes] = attrs.field(factory=dict)
 
     @property
     def size(self) -> int:
-        """Return how many bytes have arrived."""
+        """Return the number of received bytes."""
         return sum(len(block) for block in self.blocks.values())
 
 
 class AnswerStore(Protocol):
-    """Cut answers into blocks and serve the blocks after the first."""
+    """Split answers into blocks and serve the blocks after the first."""
 
     def require_capacity(self) -> None:
-        """Raise RequestFailedError (not run) when no answer would fit."""
+        """Raise RequestFailedError (not run) if no answer can be stored."""
 
     def first_block(
         self, flow_id: bytes, request: CallerRequest, answer: Answer
     ) -> Answer:
-        """Return an answer, or its first block when it is larger."""
+        """Return the answer, or its first block if it is larger."""
 
     def later_block(
         self, flow_id: bytes, request: CallerRequest
     ) -> Answer | None:
-        """Return a later block; None lets the request run."""
+        """Return a later block, None if the request has to run again."""
 
     def fetching_count(self) -> int:
-        """Return how many answers are being fetched right now."""
+        """Return the number of answers that callers are fetching."""
 
 
 def asks_later_block(request: CallerRequest) -> bool:
@@ -85,7 +85,7 @@
 
 
 def slice_block(answer: Answer, wanted: Block) -> Answer:
-    """Return one block of a whole answer."""
+    """Return one block of a complete answer."""
     end = wanted.start + wanted.size
     size = len(answer.payload)
     return attrs.evolve(
@@ -98,10 +98,11 @@
 
 @attrs.define(kw_only=True)
 class EtagAnswerStore:
-    """Keep each answer under an ETag of its own.
+    """Store each answer under its own ETag.
 
-    Callers name the ETag with each later block. Without it two answers of
-    one path would be mixed, and a later block of a POST would run it again.
+    Callers send the ETag with the request for each later block. Without it the
+    blocks of two answers of one path could be mixed, and a later block of a
+    POST would run the request again.
     """
 
     rng: Random
@@ -111,19 +112,19 @@
     stored: dict[TransferKey, StoredAnswer] = attrs.field(factory=dict)
 
     def require_capacity(self) -> None:
-        """Raise RequestFailedError (not run) when no answer would fit."""
+        """Raise RequestFailedError (not run) if the headroom is not free."""
         self.free_space(self.headroom_bytes)
         if self.used_bytes + self.headroom_bytes > self.limit_bytes:
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
                 reason=Reason.OVERLOADED,
-                message='too many large answers wait to be fetched',
+                message='too many large answers not yet fetched',
             )
 
     def first_block(
         self, flow_id: bytes, request: CallerRequest, answer: Answer
     ) -> Answer:
-        """Return an answer, or keep it and return its first block."""
+        """Return the answer, or store it and return its first block."""
         wanted = request.block2 or Block(number=0)
         size = len(answer.payload)
         if size <= wanted.size:
@@ -133,7 +134,7 @@
             raise RequestFailedError(
                 verdict=Verdict.RAN,
                 reason=Reason.ANSWER_TOO_LARGE,
-                message='the answer does not fit beside those being fetched',
+                message='no space for the answer among stored ones',
             )
         whole = attrs.evolve(answer, etag=self.rng.randbytes(ETAG_BYTES))
         key = TransferKey(
@@ -148,7 +149,7 @@
     def later_block(
         self, flow_id: bytes, request: CallerRequest
     ) -> Answer | None:
-        """Return a later block of the answer that the ETag names."""
+        """Return a later block of the answer with the request's ETag."""
         key = TransferKey(
             service=request.service, flow_id=flow_id, tag=request.etag
         )
@@ -157,7 +158,7 @@
             raise RequestFailedError(
                 verdict=Verdict.RAN,
                 reason=Reason.ANSWER_LOST,
-                message='the answer is no longer kept here',
+                message='the answer is not stored any more',
             )
         entry.used_at = trio.current_time()
         block = slice_block(entry.answer, request.block2)
@@ -165,14 +166,14 @@
             raise RequestFailedError(
                 verdict=Verdict.RAN,
                 reason=Reason.BAD_REQUEST,
-                message='the answer has fewer blocks',
+                message='block is beyond the answer',
             )
         if block.block2 is not None and not block.block2.more:
             entry.fetched = True
         return block
 
     def fetching_count(self) -> int:
-        """Return how many answers are being fetched right now."""
+        """Return the number of answers that callers are fetching."""
         oldest = trio.current_time() - FETCH_TIMEOUT_SECONDS
         return sum(
             1
@@ -181,25 +182,25 @@
         )
 
     def free_space(self, size: int) -> None:
-        """Drop idle answers, then the oldest of those fetched whole.
+        """Drop idle answers, then the oldest of the fully fetched ones.
 
-        A fetched answer is otherwise kept a while, since the datagram with
-        its last block may have been lost and be asked for again.
+        Fetched answers are otherwise retained, since the datagram with the
+        last block may be lost and requested again.
         """
         self.drop_idle()
         for key in [
-            known for known, stored in self.stored.items() if stored.fetched
+            one for one, stored in self.stored.items() if stored.fetched
         ]:
             if self.used_bytes + size <= self.limit_bytes:
                 return
             self.drop(key)
 
     def drop_idle(self) -> None:
-        """Drop the answers whose callers have given up."""
+        """Drop the answers whose callers have stopped to request blocks."""
         oldest = trio.current_time() - IDLE_TIMEOUT_SECONDS
         for key in [
-            known
-            for known, stored in self.stored.items()
+            one
+            for one, stored in self.stored.items()
             if stored.used_at < oldest
         ]:
             self.drop(key)
@@ -212,18 +213,18 @@
 
 @attrs.define(kw_only=True)
 class RerunAnswerStore:
-    """Keep nothing and run the request again for each block.
+    """Store nothing and run the request again for each block.
 
-    The naive baseline of the control runs: blocks come from different runs.
+    Baseline for control runs: the blocks come from different runs.
     """
 
     def require_capacity(self) -> None:
-        """Need no room."""
+        """Do nothing, as no answer is stored."""
 
     def first_block(
         self, flow_id: bytes, request: CallerRequest, answer: Answer
     ) -> Answer:
-        """Return the block that was asked for, of this run's answer."""
+        """Return the requested block of this run's answer."""
         wanted = request.block2 or Block(number=0)
         if len(answer.payload) <= wanted.size:
             return answer
@@ -232,16 +233,16 @@
     def later_block(
         self, flow_id: bytes, request: CallerRequest
     ) -> Answer | None:
-        """Let the request run again."""
+        """Return None, so that the request runs again."""
 
     def fetching_count(self) -> int:
-        """Keep nothing that could wait."""
+        """Return 0, as no answer is stored."""
         return 0
 
 
 @attrs.define(kw_only=True)
 class BodyAssembler:
-    """Put the blocks of request bodies together, in any order."""
+    """Assemble request bodies from blocks that arrive in any order."""
 
     limit_bytes: int = MAX_STORED_BYTES
     max_body_bytes: int = MAX_BODY_BYTES
@@ -249,7 +250,7 @@
     used_bytes: int = 0
 
     def add(self, flow_id: bytes, request: CallerRequest) -> None:
-        """Keep one block, or raise RequestFailedError (not run)."""
+        """Store one block; raise RequestFailedError (not run) if refused."""
         block = request.block1
         if block is None:
             return
@@ -257,7 +258,7 @@
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
                 reason=Reason.BAD_REQUEST,
-                message=f'block {block.number} has not {block.size} bytes',
+                message=f'block {block.number} is not {block.size} bytes',
             )
         size = max(request.size1 or 0, block.start + len(request.payload))
         if size > self.max_body_bytes:
@@ -270,7 +271,7 @@
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
                 reason=Reason.OVERLOADED,
-                message='too many large bodies are on their way',
+                message='too many large bodies in transfer',
             )
         body = self.body(flow_id, request)
         if block.start not in body.blocks:
@@ -278,11 +279,11 @@
             self.used_bytes += len(request.payload)
 
     def body(self, flow_id: bytes, request: CallerRequest) -> PartialBody:
-        """Return the body that a block belongs to."""
+        """Return the partial body of a block; drop idle bodies first."""
         now = trio.current_time()
         for idle in [
-            known
-            for known, body in self.partial.items()
+            one
+            for one, body in self.partial.items()
             if body.used_at < now - IDLE_TIMEOUT_SECONDS
         ]:
             self.drop(idle)
@@ -293,7 +294,7 @@
         return body
 
     def complete(self, flow_id: bytes, request: CallerRequest) -> CallerRequest:
-        """Return a request with its whole body, after the last block."""
+        """Return a request with its complete body, after the last block."""
         last = request.block1
         if last is None:
             return request
@@ -308,7 +309,7 @@
                 raise RequestFailedError(
                     verdict=Verdict.NOT_RUN,
                     reason=Reason.BODY_INCOMPLETE,
-                    message=f'the body lacks its bytes at {len(payload)}',
+                    message=f'no block of the body at {len(payload)}',
                 )
             payload.extend(block)
         return attrs.evolve(request, payload=bytes(payload))
@@ -318,7 +319,7 @@
         self.used_bytes -= self.partial.pop(key).size
 
     def key(self, flow_id: bytes, request: CallerRequest) -> TransferKey:
-        """Name the body that a request's block belongs to."""
+        """Return the key of the body to which a block belongs."""
         return TransferKey(
             service=request.service,
             flow_id=flow_id,
@@ -328,7 +329,7 @@
 
 @attrs.define(kw_only=True)
 class Transfers:
-    """Hold one VM's answers and bodies in transfer."""
+    """Hold the answers and bodies in transfer of one VM."""
 
     answers: AnswerStore
     bodies: BodyAssembler = attrs.field(factory=BodyAssembler)
@@ -336,10 +337,10 @@
     def answer_part(
         self, flow_id: bytes, request: CallerRequest
     ) -> Answer | None:
-        """Answer a request for a part, None for one that has to run.
+        """Answer a request for one block; None if the request has to run.
 
-        Parts never reach the at-most-once window: they run nothing, and
-        each has a token of its own.
+        Such requests bypass the at-most-once window: they are not dispatched,
+        and each has its own token.
         """
         if asks_later_block(request):
             return self.answers.later_block(flow_id, request)
@@ -353,13 +354,13 @@
         )
 
     async def wait_until_fetched(self) -> None:
-        """Return when no answer is being fetched; a planned stop waits so."""
+        """Wait until no answer is being fetched, in a planned shutdown."""
         while self.answers.fetching_count():  # noqa: ASYNC110
             await trio.sleep(POLL_SECONDS)
 
     def whole_request(
         self, flow_id: bytes, request: CallerRequest
     ) -> CallerRequest:
-        """Return a request with its whole body; refuse it without room."""
+        """Return a complete request; refuse it if no answer can be stored."""
         self.answers.require_capacity()
         return self.bodies.complete(flow_id, request)
