--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -1,4 +1,4 @@
-"""Choose the upstream of a new flow."""
+"""Placement of new flows on upstreams."""
 
 import math
 from random import Random
@@ -12,25 +12,25 @@
 from burdocksill.ownership.rendezvous import owner_of
 from burdocksill.upstreams.hints import HintTable, ReceivedHint
 
-# Another failure domain is taken only when its upstream has this much less
-# load than the best of our own: near ones are kept while they are no worse.
+# Another failure domain is chosen only if its upstream has less load than the
+# best local candidate by this share, so that flows stay local at equal load.
 SPILLOVER_MARGIN: Final = 0.05
 SAMPLE_SIZE: Final = 2
-# A bound on load that every upstream is below.
+# A bound that the load of every upstream is below.
 NO_LOAD_LIMIT: Final = math.inf
 NO_EXCLUSIONS: Final[frozenset[str]] = frozenset()
 
 
 @attrs.frozen(kw_only=True)
 class Placement:
-    """Hold the upstream chosen for a flow and the VM that owns it."""
+    """Hold the upstream chosen for a flow and the owner of the upstream."""
 
     upstream: Upstream
     owner: Member
 
 
 class Placer(Protocol):
-    """Choose an upstream; the owner has the last word."""
+    """Choose an upstream for a flow; its owner may reroute or refuse it."""
 
     def place(
         self,
@@ -39,9 +39,9 @@
         exclude: frozenset[str] = NO_EXCLUSIONS,
         max_load: float = NO_LOAD_LIMIT,
     ) -> Placement | None:
-        """Return a choice outside the upstreams to avoid, None without one.
+        """Return a placement outside the excluded upstreams, if there is any.
 
-        With `max_load`, only an upstream known to have less load will do.
+        A finite `max_load` admits only upstreams known to have less load.
         """
 
     def owner(self, service: str, upstream: Upstream | None) -> Member | None:
@@ -50,21 +50,22 @@
 
 @attrs.frozen(kw_only=True)
 class Candidate:
-    """Hold an upstream that could be chosen and its load as far as known."""
+    """Hold an upstream that could be chosen and its last known load."""
 
     placement: Placement
     load: float
-    # True when a fresh hint says that there is room for new flows.
+    # True if a hint reports capacity for new flows.
     confirmed_capacity: bool
 
 
 @attrs.define(kw_only=True)
 class TwoChoicePlacer:
-    """Choose the less loaded of two random upstreams, near ones first.
+    """Choose the less loaded of two random upstreams, local ones first.
 
-    Hints are stale. The least loaded of all would be hit by every VM at once
-    until the next hint; of two random ones it is not. What this VM placed
-    since the hint is added, times the VMs that do the same meanwhile.
+    Hints are stale: until the next hint, all VMs would choose the upstream
+    with the least load at once. Choosing between two random ones avoids this.
+    The flows that this VM has placed since the hint are added to the load,
+    times the number of VMs that place flows as well.
     """
 
     members: MemberView
@@ -79,28 +80,28 @@
         exclude: frozenset[str] = NO_EXCLUSIONS,
         max_load: float = NO_LOAD_LIMIT,
     ) -> Placement | None:
-        """Return a choice outside the upstreams to avoid, None without one."""
+        """Return a placement with free capacity if any has it, else any."""
         self.hints.refresh_local()
         found = self.candidates(document, exclude)
         if math.isfinite(max_load):
             found = [
-                one
-                for one in found
-                if one.confirmed_capacity and one.load < max_load
+                candidate
+                for candidate in found
+                if candidate.confirmed_capacity and candidate.load < max_load
             ]
         local_domain = self.members.local_member.domain
         local = self.choose(
             [
-                one
-                for one in found
-                if one.placement.upstream.domain == local_domain
+                candidate
+                for candidate in found
+                if candidate.placement.upstream.domain == local_domain
             ],
         )
         remote = self.choose(
             [
-                one
-                for one in found
-                if one.placement.upstream.domain != local_domain
+                candidate
+                for candidate in found
+                if candidate.placement.upstream.domain != local_domain
             ],
         )
         chosen = local or remote
@@ -117,16 +118,16 @@
         return chosen.placement
 
     def choose(self, found: list[Candidate]) -> Candidate | None:
-        """Return the better of two at random, None without any."""
-        picked = self.rng.sample(found, min(SAMPLE_SIZE, len(found)))
-        return min(picked, key=lambda one: one.load, default=None)
+        """Return the less loaded of two random candidates, None without any."""
+        sampled = self.rng.sample(found, min(SAMPLE_SIZE, len(found)))
+        return min(sampled, key=lambda candidate: candidate.load, default=None)
 
     def candidates(
         self,
         document: ServiceDocument,
         exclude: frozenset[str],
     ) -> list[Candidate]:
-        """Return what may be chosen: those with room, else all usable."""
+        """Return the usable upstreams with capacity, else all usable ones."""
         with_capacity: list[Candidate] = []
         usable: list[Candidate] = []
         for upstream in document.upstreams:
@@ -137,14 +138,15 @@
             owner = find_owner(self.members, document.service, upstream)
             if owner is None:
                 continue
-            held = self.hints.find(document.service, upstream.name)
+            received = self.hints.find(document.service, upstream.name)
             candidate = Candidate(
                 placement=Placement(upstream=upstream, owner=owner),
-                load=self.load(held, upstream),
-                confirmed_capacity=held is not None and has_capacity(held),
+                load=self.load(received, upstream),
+                confirmed_capacity=received is not None
+                and has_capacity(received),
             )
             usable.append(candidate)
-            if has_capacity(held):
+            if has_capacity(received):
                 with_capacity.append(candidate)
         return with_capacity or usable
 
@@ -152,19 +154,20 @@
         """Return the live member that owns an upstream."""
         return find_owner(self.members, service, upstream)
 
-    def load(self, held: ReceivedHint | None, upstream: Upstream) -> float:
-        """Return an upstream's flows for each of its slots."""
-        if held is None:
+    def load(self, received: ReceivedHint | None, upstream: Upstream) -> float:
+        """Return an upstream's flows per slot, 0 without a hint."""
+        if received is None:
             return 0
         placers = max(1, len(self.members.live(upstream.domain)))
-        flows = held.hint.flows + held.placed * placers
-        # A cold upstream counts in full: flows outlast its ramp by hours.
+        flows = received.hint.flows + received.placed * placers
+        # A cold upstream counts with all its slots, since flows outlast its
+        # slow start by hours.
         return flows / upstream.slots
 
 
 @attrs.define(kw_only=True)
 class RandomPlacer:
-    """Choose at random, near ones first: the baseline of the control runs."""
+    """Choose at random, local ones first: baseline for control runs."""
 
     members: MemberView
     store: DocumentStore
@@ -177,7 +180,7 @@
         exclude: frozenset[str] = NO_EXCLUSIONS,
         max_load: float = NO_LOAD_LIMIT,
     ) -> Placement | None:
-        """Return a choice outside the upstreams to avoid, None without one."""
+        """Return a random placement, None for a finite `max_load`."""
         if math.isfinite(max_load):
             return None
         usable = [
@@ -204,15 +207,15 @@
 
 
 def accepts_new_flows(store: DocumentStore, upstream: Upstream) -> bool:
-    """Return True unless the document or the operators say otherwise."""
+    """Return True unless the upstream drains or its domain is out."""
     return not upstream.draining and not store.is_out(upstream.domain)
 
 
-def has_capacity(held: ReceivedHint | None) -> bool:
-    """Return True unless a hint says that new flows are not wanted."""
-    if held is None:
+def has_capacity(received: ReceivedHint | None) -> bool:
+    """Return True unless a hint reports no capacity for new flows."""
+    if received is None:
         return True
-    hint = held.hint
+    hint = received.hint
     return not hint.leaving and not (hint.cold and hint.free_slots == 0)
 
 
