--- a/burdocksill/requests/codec.py
+++ b/burdocksill/requests/codec.py
@@ -1,7 +1,7 @@
-"""CoAP messages to and from typed requests and answers.
+"""Encoding and decoding of CoAP requests and answers.
 
-`aiocoap` is used as a codec only (RFC 7252, 7641, 7959, 9175); the problem
-documents of errors follow RFC 9290.
+`aiocoap` is used only as a codec (RFC 7252, 7641, 7959, 9175). Errors are
+encoded as problem documents (RFC 9290).
 """
 
 from collections.abc import Mapping
@@ -26,14 +26,14 @@
 )
 from burdocksill.requests.verdict import Reason, Verdict
 
-# Options of the range for experiments (RFC 7252, section 12.2). All three are
-# elective, safe to forward and no part of a cache key.
+# Options of the experimental range (RFC 7252, section 12.2). All three are
+# elective, safe to forward and not part of the cache key.
 OPTION_TIMEOUT_MS: Final = 65052
 OPTION_CANCEL: Final = 65084
 OPTION_HOPS: Final = 65116
 PROBLEM_FORMAT: Final = 257
-# Keys of a problem document (RFC 9290, sections 2 and 2.2): entries of our
-# own stand in a map of their own under a URI.
+# Keys of a problem document (RFC 9290, sections 2 and 2.2). Custom entries are
+# in a nested map under a URI.
 PROBLEM_TITLE: Final = -1
 PROBLEM_DETAIL: Final = -2
 PROBLEM_REQUEST: Final = 'tag:burdocksill,2026:request'
@@ -45,8 +45,8 @@
 TOKEN_LENGTH_MASK: Final = 15
 MAX_TOKEN_BYTES: Final = 8
 BLOCK_NUMBERS: Final = 1 << 20
-# Critical options that are understood: Uri-Host, Uri-Port, Uri-Path,
-# Uri-Query, Block2 and Block1 (RFC 7252, section 5.10; RFC 7959).
+# Uri-Host, Uri-Port, Uri-Path, Uri-Query, Block2 and Block1 (RFC 7252, section
+# 5.10; RFC 7959).
 SUPPORTED_CRITICAL_OPTIONS: Final = frozenset((3, 7, 11, 15, 23, 27))
 REPEATABLE: Final = frozenset((11, 15))
 PROXY_OPTIONS: Final = frozenset((35, 39))
@@ -57,7 +57,7 @@
 
 @attrs.frozen(kw_only=True)
 class Problem:
-    """Hold what a problem document says of a request."""
+    """Hold the verdict, reason and detail of a problem document."""
 
     verdict: Verdict
     reason: Reason | None
@@ -87,7 +87,7 @@
 
 
 def decode_block(block: Any) -> Block | None:
-    """Return a block option of the library, None when it is absent."""
+    """Convert a block option of aiocoap, None if it is absent."""
     if block is None:
         return None
     number, more, exponent = block
@@ -97,29 +97,29 @@
 
 
 def encode_block(block: Block | None) -> Any:
-    """Return what the library takes for a block option."""
+    """Return a block option in the form that aiocoap takes."""
     if block is None:
         return None
     return (block.number, block.more, block.exponent)
 
 
-# Stands for a block option that cannot be served; its request is refused.
+# Result of decoding an invalid block option; the request is refused.
 INVALID_BLOCK: Final = Block(number=BLOCK_NUMBERS)
 
 
 def option_bytes(message: Message, number: int) -> bytes | None:
-    """Return the bytes of the first option with a number."""
+    """Return the bytes of the first option with a number, if any."""
     found = message.opt.get_option(number)
     return bytes(found[0].encode()) if found else None
 
 
 def decode_message(payload: bytes) -> Message:
-    """Read one CoAP message; raise MalformedDatagramError."""
+    """Decode one CoAP message; raise MalformedDatagramError."""
     token_bytes = payload[0] & TOKEN_LENGTH_MASK if payload else 0
     whole = len(payload) >= HEADER_BYTES + token_bytes
     if token_bytes > MAX_TOKEN_BYTES or not whole:
         raise MalformedDatagramError(
-            message=f'{len(payload)} bytes with a token of {token_bytes}',
+            message=f'{len(payload)} bytes, token length {token_bytes}',
             hint='a token has at most 8 bytes (RFC 7252, section 3)',
         )
     try:
@@ -127,21 +127,21 @@
     except (CoapError, ValueError, IndexError, KeyError) as error:
         raise MalformedDatagramError(
             message=f'not a CoAP message: {error}',
-            hint='it is counted and dropped',
+            hint='the datagram is counted and dropped',
         ) from error
 
 
 def decode_request(payload: bytes) -> CallerRequest:
-    """Read a caller's datagram.
+    """Decode a caller's datagram.
 
-    Raise MalformedDatagramError for what is no request, and
-    UnsupportedRequestError for a request that CoAP wants refused.
+    Raise MalformedDatagramError if it is not a request, and
+    UnsupportedRequestError if CoAP requires that the request is refused.
     """
     message = decode_message(payload)
     if not message.code.is_request():
         raise MalformedDatagramError(
-            message=f'{message.code} is no request',
-            hint='callers send requests only',
+            message=f'{message.code} is not a request',
+            hint='callers may send only requests',
         )
     opt = message.opt
     request = CallerRequest(
@@ -170,22 +170,23 @@
 
 
 def method_name(code: Code) -> str:
-    """Return a method's name, empty for one that nobody has defined."""
+    """Return a method's name, empty for an undefined method."""
     name = getattr(code, 'name', '')
     return name if name in METHODS else ''
 
 
 def decode_timeout(message: Message) -> float:
-    """Return how long the caller waits, 0 when it does not say so well."""
+    """Return the caller's timeout in seconds, 0 if missing or invalid."""
     encoded = option_bytes(message, OPTION_TIMEOUT_MS) or b''
     if len(encoded) > MAX_TIMEOUT_BYTES:
-        # An elective option of a wrong length is ignored (section 5.4.3).
+        # An elective option of invalid length is ignored (RFC 7252, section
+        # 5.4.3).
         return 0
     return int.from_bytes(encoded, 'big') / MS_PER_SECOND
 
 
 def require_supported(message: Message, request: CallerRequest) -> None:
-    """Raise UnsupportedRequestError where CoAP wants a request refused."""
+    """Raise UnsupportedRequestError if CoAP requires a refusal."""
     numbers = [int(option.number) for option in message.opt.option_list()]
     critical = [number for number in numbers if number % 2]
     if not request.method:
@@ -198,7 +199,7 @@
         raise UnsupportedRequestError(
             request=request,
             coap_code='PROXYING_NOT_SUPPORTED',
-            message='this is no forward proxy',
+            message='not a forward proxy',
         )
     for number in critical:
         repeated = number not in REPEATABLE and critical.count(number) > 1
@@ -212,12 +213,12 @@
         raise UnsupportedRequestError(
             request=request,
             coap_code='BAD_REQUEST',
-            message='a block option is out of its range',
+            message='a block option is out of range',
         )
 
 
 def encode_request(request: CallerRequest) -> bytes:
-    """Write a caller's datagram."""
+    """Encode a caller's datagram."""
     message = Message(
         code=Code[request.method],
         _mtype=aiocoap.CON if request.confirmable else aiocoap.NON,
@@ -248,13 +249,13 @@
 
 
 def add_option(message: Message, number: int, encoded: bytes) -> None:
-    """Add an option that the library does not know."""
+    """Add an option that aiocoap does not define."""
     option = aiocoap.OptionNumber(number).create_option(decode=encoded)
     message.opt.add_option(option)
 
 
 def encode_answer(request: CallerRequest, answer: Answer) -> bytes:
-    """Write the datagram that answers a request."""
+    """Encode the datagram that answers a request."""
     message = Message(
         code=Code[answer.code],
         _mtype=aiocoap.ACK if request.confirmable else aiocoap.NON,
@@ -282,7 +283,7 @@
 
 
 def encode_problem(answer: Answer) -> bytes:
-    """Write the problem document (RFC 9290) of an answer."""
+    """Encode the problem document (RFC 9290) of an answer."""
     return cbor2.dumps(
         {
             PROBLEM_TITLE: str(answer.reason),
@@ -296,9 +297,9 @@
 
 
 def encode_minimal_answer(request: CallerRequest, answer: Answer) -> bytes:
-    """Write the least that still tells the caller what became of it.
+    """Encode the smallest answer that still conveys the verdict.
 
-    The problem document is empty: its reader goes by the code.
+    The problem document is empty; the code determines the verdict.
     """
     code = answer.code if answer.reason else 'BAD_GATEWAY'
     short = Answer(
@@ -312,10 +313,12 @@
 
 
 def decode_answer(payload: bytes) -> tuple[bytes, Answer]:
-    """Read a datagram that answers a request; return its token too."""
+    """Decode an answer; return its token and the answer."""
     message = decode_message(payload)
     if not message.code.is_response():
-        raise MalformedDatagramError(message=f'{message.code} is no answer')
+        raise MalformedDatagramError(
+            message=f'{message.code} is not a response'
+        )
     opt = message.opt
     hops = option_bytes(message, OPTION_HOPS) or b''
     problem = Problem(verdict=Verdict.RAN, reason=None)
@@ -341,19 +344,19 @@
 
 
 def decode_problem(code: str, payload: bytes) -> Problem:
-    """Read a problem document; its answer's code says the rest."""
+    """Decode a problem document; use the default of the code if invalid."""
     fallback = DEFAULT_PROBLEMS.get(code, NOT_RUN_PROBLEM)
     if not payload:
         return fallback
     try:
         document = cbor2.loads(payload)
-        ours = document[PROBLEM_REQUEST]
+        custom = document[PROBLEM_REQUEST]
         return Problem(
-            verdict=Verdict(ours[PROBLEM_VERDICT]),
-            reason=Reason(ours[PROBLEM_REASON]),
+            verdict=Verdict(custom[PROBLEM_VERDICT]),
+            reason=Reason(custom[PROBLEM_REASON]),
             detail=str(document.get(PROBLEM_DETAIL, '')),
         )
     except (cbor2.CBORDecodeError, KeyError, TypeError, ValueError):
-        # Written by another version or by something between us: the code
-        # alone never claims too much.
+        # Written by another version or by an intermediary. The default of the
+        # code never claims more than is certain.
         return fallback
