--- a/tests/steps/ownership_at_most_once.py
+++ b/tests/steps/ownership_at_most_once.py
@@ -6,25 +6,25 @@
 from burdocksill_lab.proofs.at_most_once import PROOF
 
 
-@when('the story of at-most-once runs with seed {seed:d}')
-def run_story(context: Context, seed: int) -> None:
-    """Run the story with the product's guards."""
+@when('the at-most-once simulation runs with seed {seed:d}')
+def run_simulation(context: Context, seed: int) -> None:
+    """Run the simulation with the components of the product."""
     context.result = PROOF.run(seed=seed, control=False)
 
 
-@when('the story of at-most-once runs with seed {seed:d} and naive guards')
+@when('the at-most-once simulation runs with seed {seed:d} as a control run')
 def run_control(context: Context, seed: int) -> None:
-    """Run the story with naive guards."""
+    """Run the simulation with the baseline components."""
     context.result = PROOF.run(seed=seed, control=True)
 
 
-@then('no count ran twice')
+@then('no request ran twice')
 def check_held(context: Context) -> None:
     """Check that the promise held."""
     assert context.result.held, context.result.violation
 
 
-@then('some count ran twice')
+@then('some request ran twice')
 def check_seen(context: Context) -> None:
-    """Check that the violation was seen."""
+    """Check that the violation was detected."""
     assert not context.result.held
