--- a/tests/ownership/lost_owner.feature
+++ b/tests/ownership/lost_owner.feature
@@ -1,17 +1,17 @@
 Feature: Verdicts after an owner is lost
-  A kitchen puts its portions. The owner sends the request on and dies before
-  the answer comes. No other VM can know whether it ran, also not for a
-  request that may run twice, so nobody may say "not run".
+  The owner forwards a request and dies before the answer arrives. No other VM
+  can know whether the request ran, not even an idempotent one, so none may
+  report "not run".
 
-  Scenario: A lost owner's idempotent request that nobody can serve
-    Given a lost owner's upstream that works 2 s on each request
+  Scenario: An idempotent request of a lost owner that no VM can serve
+    Given a lost owner's upstream that takes 2 s for each request
     When its owner dies 1 s after a caller sent a PUT
-    Then the lost owner's caller is told "may-have-run"
+    Then the lost owner's caller gets the verdict "may-have-run"
     And the lost owner's upstream has run the request
 
-  Scenario: A lost owner's idempotent request that its heir refuses
-    Given a lost owner's upstream that works 2 s on each request
-    And an heir in its failure domain whose dispatcher refuses everything
+  Scenario: An idempotent request of a lost owner that its successor refuses
+    Given a lost owner's upstream that takes 2 s for each request
+    And a successor in its failure domain whose dispatcher refuses all requests
     When its owner dies 1 s after a caller sent a PUT
-    Then the lost owner's caller is told "may-have-run"
+    Then the lost owner's caller gets the verdict "may-have-run"
     And the lost owner's upstream has run the request
