--- a/tests/steps/entry_containment.py
+++ b/tests/steps/entry_containment.py
@@ -1,4 +1,4 @@
-"""Steps about faults that stay with their request."""
+"""Steps about the isolation of errors in a request."""
 
 from random import Random
 
@@ -27,8 +27,8 @@
 VM = 'cz-a-entry-1'
 
 
-async def start(world: World) -> None:
-    """Start one entry VM before one upstream."""
+async def start_world(world: World) -> None:
+    """Start one upstream and one entry VM."""
     upstream = world.start_upstream(SERVICE, UPSTREAM, 'cz-a')
     await world.put_document(
         ServiceDocument(
@@ -46,7 +46,7 @@
     method: str,
     path: str,
 ) -> CallFailedError | None:
-    """Send one request; return how it failed."""
+    """Send one request; return its failure, None if it succeeded."""
     try:
         await session.request(method, (path,))
     except CallFailedError as error:
@@ -54,94 +54,96 @@
     return None
 
 
-@given('a contained fault in every request for "{path}"')
-def break_requests(context: Context, path: str) -> None:
-    """Let the dispatch of one path raise an unforeseen error."""
+@given('an unexpected error in every request for "{path}"')
+def inject_error(context: Context, path: str) -> None:
+    """Replace the dispatch, so that one path raises an error."""
     dispatch = DeadlineDispatcher.dispatch
 
-    async def raise_fault(self: object, request: object, **rest: object):  # noqa: ANN202
+    async def raise_error(self: object, request: object, **rest: object):  # noqa: ANN202
         if request.path == (path,):
             raise ZeroDivisionError
         return await dispatch(self, request, **rest)
 
-    DeadlineDispatcher.dispatch = raise_fault
+    DeadlineDispatcher.dispatch = raise_error
     context.add_cleanup(setattr, DeadlineDispatcher, 'dispatch', dispatch)
 
 
 @when('a caller asks for "{first}" and then for "{second}" at that entry VM')
-def ask_both(context: Context, first: str, second: str) -> None:
-    """Ask for what breaks and for what does not."""
+def send_both(context: Context, first: str, second: str) -> None:
+    """Send a request that fails and one that does not."""
 
-    async def story() -> None:
+    async def script() -> None:
         async with open_world(context.seed) as world:
-            await start(world)
+            await start_world(world)
             async with world.session(SERVICE) as session:
                 context.first_failed = await call(session, 'POST', first)
                 context.next_failed = await call(session, 'POST', second)
             counters = world.nodes[VM].node.counters
-            context.faults = counters.value('request_faults')
+            context.error_count = counters.value('request_faults')
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
-@then('the contained fault is told as "{verdict}" and "{reason}"')
-@then('the contained circle is told as "{verdict}" and "{reason}"')
-def check_told(context: Context, verdict: str, reason: str) -> None:
-    """Check what the caller was told."""
-    told = (
+@then('the unexpected error is reported as "{verdict}" and "{reason}"')
+@then('the relay loop is reported as "{verdict}" and "{reason}"')
+def check_failure(context: Context, verdict: str, reason: str) -> None:
+    """Check the verdict and reason that the caller received."""
+    reported = (
         context.first_failed.verdict.value,
         context.first_failed.reason.value,
     )
-    assert told == (verdict, reason), told
+    assert reported == (verdict, reason), reported
 
 
-@then('the entry VM with the contained fault answers the next request')
-@then('the entry VM of the contained circle still serves')
+@then('the entry VM with the unexpected error answers the next request')
+@then('the entry VM of the relay loop still serves')
 def check_next(context: Context) -> None:
-    """Check that the VM went on."""
+    """Check that the next request succeeded."""
     assert context.next_failed is None, context.next_failed
 
 
-@then('the entry VM counts {count:d} contained fault')
+@then('the entry VM counts {count:d} unexpected error')
 def check_count(context: Context, count: int) -> None:
-    """Check the counter of faults."""
-    assert context.faults == count, context.faults
+    """Check the counter of unexpected errors."""
+    assert context.error_count == count, context.error_count
 
 
 @attrs.define(kw_only=True)
-class CirclingPlacer:
-    """Place flows as usual, but believe in an owner that was visited."""
+class LoopingPlacer:
+    """Place flows as usual, but name an owner that is among the hops."""
 
     placer: Placer
-    ghost: Member
+    wrong_owner: Member
 
     def place(self, *arguments: object, **options: object) -> object:
         """Place a new flow as usual."""
         return self.placer.place(*arguments, **options)
 
     def owner(self, service: str, upstream: object) -> Member:
-        """Name a VM that every packet seems to come from."""
-        return self.ghost
+        """Return a member with the name of this VM."""
+        return self.wrong_owner
 
 
-def circling(
+def make_looping_placer(
     members: MemberView,
     store: DocumentStore,
     rng: Random,
     hints: HintTable,
-) -> CirclingPlacer:
-    """Make a placer whose owner carries this VM's name and another tag."""
-    ghost = attrs.evolve(members.local_member, domain='elsewhere')
+) -> LoopingPlacer:
+    """Make a placer whose owner has this VM's name and another tag."""
+    wrong_owner = attrs.evolve(members.local_member, domain='elsewhere')
     placer = make_placer(members, store, rng, hints)
-    return CirclingPlacer(placer=placer, ghost=Ghost.of(ghost))
+    return LoopingPlacer(
+        placer=placer, wrong_owner=UnknownMember.of(wrong_owner)
+    )
 
 
-class Ghost(Member):
-    """Carry a name that was visited and a tag of nobody."""
+class UnknownMember(Member):
+    """Member with a name among the hops and an unknown tag."""
 
     @classmethod
-    def of(cls, member: Member) -> 'Ghost':
-        """Make a ghost of a member."""
+    def of(cls, member: Member) -> 'UnknownMember':
+        """Copy a member."""
         return cls(
             name=member.name,
             domain=member.domain,
@@ -150,25 +152,25 @@
 
     @property
     def tag(self) -> bytes:
-        """Return the tag of nobody."""
+        """Return a tag that no member has."""
         return b'none'
 
 
-@given('a contained entry VM that always takes another for the owner')
-def plan_circle(context: Context) -> None:
-    """Swap the placer."""
-    context.components = Components(placer=circling)
+@given('an entry VM that always considers another VM the owner')
+def set_up_relay_loop(context: Context) -> None:
+    """Replace the placer."""
+    context.components = Components(placer=make_looping_placer)
 
 
 @when('a caller posts to it with a cookie of an unknown owner')
-def post_in_circle(context: Context) -> None:
-    """Post with a genuine cookie whose owner and epoch nobody knows."""
+def post_into_relay_loop(context: Context) -> None:
+    """Post with a valid cookie whose owner and epoch are unknown."""
 
-    async def story() -> None:
+    async def script() -> None:
         async with open_world(
             context.seed, components=context.components
         ) as world:
-            await start(world)
+            await start_world(world)
             node = world.nodes[VM].node
             async with world.session(SERVICE) as session:
                 cookie = Cookie(
@@ -187,4 +189,4 @@
                 context.first_failed = await call(session, 'POST', 'returns')
                 context.next_failed = await call(session, 'POST', 'returns')
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
