--- a/tests/entry/whole_path.feature
+++ b/tests/entry/whole_path.feature
@@ -1,10 +1,10 @@
-Feature: The whole path
-  A caller's packets reach any entry VM, the owner of the upstream serves the
-  request, and the answer comes back to the caller.
+Feature: Path of a request
+  The packets of a caller arrive at any entry VM. The owner of the upstream
+  serves the request, and the caller receives the answer.
 
-  Scenario: Requests go through any entry VM and come back
+  Scenario: Requests through any entry VM are answered
     Given three entry VMs in three failure domains
     And one upstream of "kiosk-ledger" in the first
-    When a caller sends 20 returns counts
-    Then every count is answered
-    And the upstream ran each count once
+    When a caller sends 20 requests through any entry VM
+    Then every request through any entry VM is answered
+    And the upstream ran each request once
--- a/tests/steps/entry_whole_path.py
+++ b/tests/steps/entry_whole_path.py
@@ -1,4 +1,4 @@
-"""Steps about the whole path."""
+"""Steps about the path of a request."""
 
 from behave import given, then, when
 from behave.runner import Context
@@ -11,22 +11,22 @@
 
 
 @given('three entry VMs in three failure domains')
-def plan_nodes(context: Context) -> None:
-    """Remember the nodes to start."""
+def set_up_domains(context: Context) -> None:
+    """Set the failure domains of the entry VMs to start."""
     context.domains = DOMAINS
 
 
 @given('one upstream of "{service}" in the first')
-def plan_upstream(context: Context, service: str) -> None:
-    """Remember the service."""
+def set_up_service(context: Context, service: str) -> None:
+    """Set the service of the upstream to start."""
     context.service = service
 
 
-@when('a caller sends {count:d} returns counts')
-def send_counts(context: Context, count: int) -> None:
-    """Run the story."""
+@when('a caller sends {count:d} requests through any entry VM')
+def send_requests(context: Context, count: int) -> None:
+    """Start the fleet and send the requests."""
 
-    async def story() -> None:
+    async def script() -> None:
         async with open_world(context.seed) as world:
             upstream = world.start_upstream(
                 context.service,
@@ -53,17 +53,17 @@
                 ]
             context.ledger = world.upstreams['ledger-1'].ledger
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
-@then('every count is answered')
+@then('every request through any entry VM is answered')
 def check_answers(context: Context) -> None:
     """Check the answers' codes."""
     assert {answer.code for answer in context.answers} == {'CHANGED'}
 
 
-@then('the upstream ran each count once')
+@then('the upstream ran each request once')
 def check_ledger(context: Context) -> None:
-    """Check the upstream's own ledger."""
+    """Check the requests that the upstream has run."""
     payloads = [int(entry.payload) for entry in context.ledger]
     assert payloads == list(range(len(context.answers))), payloads
