--- a/tests/flows/cookie.feature
+++ b/tests/flows/cookie.feature
@@ -1,8 +1,8 @@
-Feature: The signed cookie
-  A caller carries its flow's routing in the Echo option. Anybody can send any
-  bytes there, so a VM must accept only what the fleet signed for the service.
+Feature: Signed cookies
+  Callers send the routing of their flow in the Echo option. Any bytes may be
+  sent there, so a VM accepts only cookies signed by the fleet for the service.
 
-  Scenario: A cookie comes back as it was sealed
+  Scenario: A sealed cookie is decoded unchanged
     Given a cookie of "kiosk-ledger"
     Then it has at most 40 bytes
     And "kiosk-ledger" opens it
--- a/tests/steps/flows_cookie.py
+++ b/tests/steps/flows_cookie.py
@@ -10,7 +10,7 @@
 
 
 def refuses(context: Context, service: str, sealed: bytes) -> bool:
-    """Tell whether a service refuses a cookie."""
+    """Return True if a service refuses a cookie."""
     try:
         context.sealer.open(service=service, sealed=sealed)
     except CookieInvalidError:
@@ -45,7 +45,7 @@
 
 @then('"{service}" opens it')
 def check_open(context: Context, service: str) -> None:
-    """Check that the cookie comes back."""
+    """Check that the cookie is decoded unchanged."""
     opened = context.sealer.open(service=service, sealed=context.sealed)
     assert opened == context.cookie
 
@@ -67,7 +67,7 @@
 
 @then('every shorter cookie is refused')
 def check_truncated(context: Context) -> None:
-    """Cut the cookie at each length."""
+    """Truncate the cookie at each length."""
     for size in range(len(context.sealed)):
         assert refuses(context, 'kiosk-ledger', context.sealed[:size]), size
 
