--- a/tests/requests/cookies.feature
+++ b/tests/requests/cookies.feature
@@ -1,14 +1,14 @@
-Feature: What a caller is told about its cookie
-  A newsagent's return is billed although the terminal said "not run", or a
-  stranger's address is flooded with statements. A cookie was lost, copied,
-  forged or grew old on its way, and a VM believed it.
+Feature: Cookies of callers
+  A request with a missing, forged, foreign, stolen or expired cookie must not
+  run, although it is reported as "not run", and answers must not be used to
+  flood an address that has not been verified.
 
-  Scenario Outline: A return with a bad cookie is refused and never runs
+  Scenario Outline: A request with an invalid cookie is refused and never runs
     Given a ledger behind two entry VMs
-    When a return comes with a cookie that is <kind>
-    Then the cookie's answer is UNAUTHORIZED as "not-run" for "<reason>" with a fresh cookie
-    And the cookie's answer has at most 3 times the request's size
-    And no return ran under the cookie
+    When a request arrives with a cookie that is <kind>
+    Then the answer is UNAUTHORIZED as "not-run" for "<reason>" with a new cookie
+    And the answer has at most 3 times the request's size
+    And no request ran under the cookie
 
     Examples:
       | kind      | reason          |
@@ -20,18 +20,18 @@
       | forgotten | cookie-expired  |
       | stolen    | address-changed |
 
-  Scenario: A tiny request gets no more than three times its size
+  Scenario: An answer to a small request has at most three times its size
     Given a ledger behind two entry VMs
-    When 200 tiny requests of any kind come without a cookie
-    Then every cookie's answer has at most 3 times its request's size
+    When 200 small requests of any kind arrive without a cookie
+    Then every answer has at most 3 times its request's size
 
   Scenario Outline: An idle session gets no false "may have run"
-    A kiosk sends nothing for a while. Its owner stops or dies meanwhile, and
-    the next return would be told "may have run" though it never left.
+    The owner stops or dies while a session is idle. The next request was never
+    sent before, so it must not be reported as "may have run".
 
     Given a ledger behind two entry VMs
     When a session is idle for <seconds> seconds while its owner <fate>
-    Then its next return under the new cookie runs once
+    Then its next request under the new cookie runs once
 
     Examples:
       | seconds | fate  |
@@ -39,7 +39,7 @@
       | 100     | stops |
       | 100     | dies  |
 
-  Scenario: A caller's address changes while it fetches a statement
+  Scenario: A caller's address changes while it fetches an answer
     Given a ledger behind two entry VMs
     When a caller's address changes in the middle of 200000 bytes
-    Then the cookie's caller has the whole statement of one run
+    Then the moved caller has the complete answer of one run
--- a/tests/steps/requests_cookies.py
+++ b/tests/steps/requests_cookies.py
@@ -1,4 +1,4 @@
-"""Steps about what callers are told of their cookies."""
+"""Steps about cookies of callers."""
 
 from collections.abc import AsyncGenerator, Callable
 from contextlib import asynccontextmanager
@@ -20,9 +20,9 @@
 
 SERVICE = 'kiosk-ledger'
 OTHER = 'statement-desk'
-# A request to it is too short for three times its size to hold a cookie.
+# Three times the size of a request to this service is too small for a cookie.
 TINY = 'k'
-# Seconds since such a cookie was issued.
+# Age of such a cookie in seconds.
 AGES = {'expired': 320, 'forgotten': 560}
 
 
@@ -44,7 +44,7 @@
 
 
 def payloads(world: World) -> list[bytes]:
-    """Return the bodies that ran at the ledger."""
+    """Return the bodies of the POSTs that the ledger has run."""
     return [
         entry.payload
         for entry in world.upstreams[f'{SERVICE}-1'].ledger
@@ -52,15 +52,15 @@
     ]
 
 
-async def fresh_cookie(world: World, service: str) -> tuple[bytes, Address]:
-    """Return the cookie of a new flow and the address it was given to."""
+async def new_cookie(world: World, service: str) -> tuple[bytes, Address]:
+    """Return the cookie of a new flow and its caller's address."""
     async with world.session(service) as session:
         await session.request('GET', ('counts',))
         return session.cookie, session.socket.local
 
 
 async def exchange(world: World, raw: bytes, source: Address) -> list[bytes]:
-    """Send one datagram and return what comes back within a second."""
+    """Send one datagram and return the answers within a second."""
     socket = world.network.bind(source)
     socket.send(raw, SERVICE_ADDRESS)
     received: list[bytes] = []
@@ -71,8 +71,8 @@
     return received
 
 
-def make_return(cookie: bytes) -> CallerRequest:
-    """Make a return as a caller would send it."""
+def make_post(cookie: bytes) -> CallerRequest:
+    """Make a POST as a caller would send it."""
     return CallerRequest(
         service=SERVICE,
         method='POST',
@@ -85,8 +85,8 @@
     )
 
 
-def spoil(cookie: bytes, kind: str) -> bytes:
-    """Make a cookie bad in one way."""
+def invalidate(cookie: bytes, kind: str) -> bytes:
+    """Make a cookie invalid in one way."""
     changes: dict[str, Callable[[bytes], bytes]] = {
         'missing': lambda whole: b'',
         'forged': lambda whole: whole[:-1] + bytes((whole[-1] ^ 1,)),
@@ -96,73 +96,74 @@
 
 
 @given('a ledger behind two entry VMs')
-def plan_ledger(context: Context) -> None:
-    """Start without an outcome."""
+def reset_exchanges(context: Context) -> None:
+    """Reset the collected exchanges."""
     context.exchanges = []
 
 
-@when('a return comes with a cookie that is {kind}')
+@when('a request arrives with a cookie that is {kind}')
 def send_bad_cookie(context: Context, kind: str) -> None:
-    """Send one return and keep what it was told."""
+    """Send one request and store its answers."""
 
-    async def story() -> None:
+    async def script() -> None:
         async with open_ledger(context) as world:
             service = OTHER if kind == 'foreign' else SERVICE
-            cookie, source = await fresh_cookie(world, service)
+            cookie, source = await new_cookie(world, service)
             if kind == 'stolen':
                 source = Address(world.new_host(), source.port)
             sealer = next(iter(world.nodes.values())).node.router.sealer
             if kind in AGES:
-                known = sealer.open(service=SERVICE, sealed=cookie)
-                old = attrs.evolve(known, issued=known.issued - AGES[kind])
+                decoded = sealer.open(service=SERVICE, sealed=cookie)
+                old = attrs.evolve(decoded, issued=decoded.issued - AGES[kind])
                 cookie = sealer.seal(service=SERVICE, cookie=old)
-            sealed = spoil(cookie, kind)
-            raw = encode_request(make_return(sealed))
+            sealed = invalidate(cookie, kind)
+            raw = encode_request(make_post(sealed))
             context.exchanges = [(raw, await exchange(world, raw, source))]
             context.ran = payloads(world)
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
 @then(
-    'the cookie\'s answer is {code} as "{verdict}" for "{reason}" with a '
-    'fresh cookie',
+    'the answer is {code} as "{verdict}" for "{reason}" with a new cookie',
 )
-def check_told(context: Context, code: str, verdict: str, reason: str) -> None:
+def check_refusal(
+    context: Context, code: str, verdict: str, reason: str
+) -> None:
     """Check code, verdict, reason and cookie."""
     ((_, answers),) = context.exchanges
     assert len(answers) == 1, answers
     _, answer = decode_answer(answers[0])
-    told = (answer.code, answer.verdict, answer.reason)
-    assert told == (code, verdict, reason), told
+    reported = (answer.code, answer.verdict, answer.reason)
+    assert reported == (code, verdict, reason), reported
     assert answer.cookie
 
 
-@then("the cookie's answer has at most {times:d} times the request's size")
-@then("every cookie's answer has at most {times:d} times its request's size")
+@then("the answer has at most {times:d} times the request's size")
+@then("every answer has at most {times:d} times its request's size")
 def check_size(context: Context, times: int) -> None:
     """Compare sizes."""
     for raw, answers in context.exchanges:
         assert sum(map(len, answers)) <= times * len(raw), (raw, answers)
 
 
-@then('no return ran under the cookie')
+@then('no request ran under the cookie')
 def check_not_run(context: Context) -> None:
-    """Look into the ledger."""
+    """Check that the ledger has run no request."""
     assert context.ran == []
 
 
-@when('{count:d} tiny requests of any kind come without a cookie')
-def send_tiny(context: Context, count: int) -> None:
-    """Send small requests with and without what makes answers long."""
+@when('{count:d} small requests of any kind arrive without a cookie')
+def send_small(context: Context, count: int) -> None:
+    """Send small requests with options that lengthen answers or not."""
 
-    async def story() -> None:
+    async def script() -> None:
         rng = Random(context.seed)
         async with open_ledger(context) as world:
             source = Address(world.new_host(), 5000)
             for _ in range(count):
                 request = attrs.evolve(
-                    make_return(b''),
+                    make_post(b''),
                     service=rng.choice((SERVICE, OTHER, TINY, 'x', '')),
                     method=rng.choice(('GET', 'POST')),
                     token=rng.randbytes(rng.randrange(9)),
@@ -180,14 +181,14 @@
                 for running in world.nodes.values()
             )
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
 @when('a session is idle for {seconds:d} seconds while its owner {fate}')
 def stay_idle(context: Context, seconds: int, fate: str) -> None:
-    """Stay idle, then send one return."""
+    """Stay idle, then send one request."""
 
-    async def story() -> None:
+    async def script() -> None:
         async with open_ledger(context) as world:
             async with world.session(SERVICE) as session:
                 first = await session.request('POST', ('returns',))
@@ -202,33 +203,33 @@
                 )
             context.ran = payloads(world)
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
-@then('its next return under the new cookie runs once')
+@then('its next request under the new cookie runs once')
 def check_ran_once(context: Context) -> None:
     """Check the answer and the ledger."""
     assert context.answer.reason is None
     assert context.ran == [b'', b'40 copies'], context.ran
 
 
-def move(world: World, session: Session) -> None:
-    """Give a session another port, as an address translator does."""
-    moved = world.network.bind(Address(session.socket.local.host, 0))
+def change_port(world: World, session: Session) -> None:
+    """Change the port of a session, as NAT does."""
+    new_socket = world.network.bind(Address(session.socket.local.host, 0))
     old = session.socket
-    moved.queue, moved.arrived = old.queue, old.arrived
+    new_socket.queue, new_socket.arrived = old.queue, old.arrived
     world.network.sockets.pop(old.local)
-    world.network.sockets[moved.local] = old
-    old.local = moved.local
+    world.network.sockets[new_socket.local] = old
+    old.local = new_socket.local
 
 
 @when("a caller's address changes in the middle of {size:d} bytes")
 def change_address(context: Context, size: int) -> None:
-    """Fetch a statement and change the address on the way."""
+    """Fetch an answer and change the address during the transfer."""
     context.size = size
     context.answers = []
 
-    async def story() -> None:
+    async def script() -> None:
         async with open_ledger(context) as world:
             async with (
                 world.session(SERVICE) as session,
@@ -243,15 +244,15 @@
                 nursery.start_soon(fetch)
                 await trio.sleep(0.05)
                 assert not context.answers
-                move(world, session)
+                change_port(world, session)
             context.ran = payloads(world)
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
-@then("the cookie's caller has the whole statement of one run")
+@then('the moved caller has the complete answer of one run')
 def check_statement(context: Context) -> None:
-    """Compare with what the stand-in wrote, once."""
+    """Compare with the answer of one run of the stand-in."""
     (answer,) = context.answers
     whole = statement(
         by=f'{SERVICE}-1', run=run_of(answer.payload), size=context.size
