--- a/tests/steps/requests_deadlines.py
+++ b/tests/steps/requests_deadlines.py
@@ -20,7 +20,7 @@
 
 
 @asynccontextmanager
-async def open_publisher(context: Context) -> AsyncGenerator[World, None]:
+async def open_slow_upstream(context: Context) -> AsyncGenerator[World, None]:
     """Open two entry VMs with an upstream that takes a minute."""
     async with open_world(context.seed) as world:
         upstream = world.start_upstream(SERVICE, 'menu-1', 'quito-a')
@@ -36,20 +36,20 @@
 
 
 async def watch_end(context: Context, world: World) -> None:
-    """Note when the publisher has stopped its work."""
-    publisher = world.upstreams['menu-1']
-    publisher.work_seconds = WORK_SECONDS
+    """Record when the slow upstream has stopped its work."""
+    upstream_server = world.upstreams['menu-1']
+    upstream_server.work_seconds = WORK_SECONDS
     context.started = trio.current_time()
     seen = False
     for _ in range(int(WORK_SECONDS * 100)):
         await trio.sleep(0.01)
-        if seen and not publisher.busy:
+        if seen and not upstream_server.busy:
             context.ended = trio.current_time()
             return
-        seen = seen or publisher.busy > 0
+        seen = seen or upstream_server.busy > 0
 
 
-def stock_request(cookie: bytes, timeout_seconds: float) -> CallerRequest:
+def make_request(cookie: bytes, timeout_seconds: float) -> CallerRequest:
     """Make the request of a caller that does not use our library."""
     return CallerRequest(
         service=SERVICE,
@@ -64,32 +64,32 @@
 
 
 @attrs.define(kw_only=True)
-class Notes:
-    """Keep each answer that carries a token, with its time."""
+class AnswerRecorder:
+    """Store each answer with its time."""
 
     context: Context
 
     def take(self, answer: Answer) -> None:
-        """Keep one answer."""
+        """Store one answer."""
         after = trio.current_time() - self.context.started
         self.context.answers.append((answer, after))
 
 
-def run_stock(
+def run_plain_caller(
     context: Context,
     timeout_seconds: float,
     send: Callable[[Callable[[bool], None]], Awaitable[None]],
 ) -> None:
-    """Send datagrams by hand and note each answer with its time."""
+    """Send raw datagrams and store each answer with its time."""
 
-    async def story() -> None:
-        async with open_publisher(context) as world:
+    async def script() -> None:
+        async with open_slow_upstream(context) as world:
             async with (
                 world.session(SERVICE) as session,
                 trio.open_nursery() as nursery,
             ):
                 await session.request('GET', ('.well-known', 'x'))
-                request = stock_request(session.cookie, timeout_seconds)
+                request = make_request(session.cookie, timeout_seconds)
                 nursery.start_soon(watch_end, context, world)
                 context.started = trio.current_time()
                 context.answers = []
@@ -99,28 +99,28 @@
                     sent = attrs.evolve(request, cancels=cancels)
                     session.socket.send(encode_request(sent), SERVICE_ADDRESS)
 
-                session.pending[request.token] = Notes(context=context)
+                session.pending[request.token] = AnswerRecorder(context=context)
                 await send(transmit)
                 await trio.sleep(20)
                 nursery.cancel_scope.cancel()
             context.ledger = list(world.upstreams['menu-1'].ledger)
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
-@given('a slow publisher behind two entry VMs')
-def plan_publisher(context: Context) -> None:
-    """Start without an outcome."""
+@given('a slow upstream behind two entry VMs')
+def reset_answers(context: Context) -> None:
+    """Reset the collected answers."""
     context.answers = []
 
 
 @when('a caller gives up on a request after {seconds:d} second')
-def give_up(context: Context, seconds: int) -> None:
-    """Let our library give up."""
+def time_out(context: Context, seconds: int) -> None:
+    """Send a request that times out in our library."""
 
-    async def story() -> None:
-        async with open_publisher(context) as world:
-            # The session ends first, and the world after it.
+    async def script() -> None:
+        async with open_slow_upstream(context) as world:
+            # The session is closed before the world.
             async with (
                 world.session(SERVICE) as session,
                 trio.open_nursery() as nursery,
@@ -138,20 +138,22 @@
                 nursery.cancel_scope.cancel()
             context.ledger = list(world.upstreams['menu-1'].ledger)
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
-@when('a stock caller sends a request with {seconds:d} seconds to go')
+@when(
+    'a plain CoAP caller sends a request with a timeout of {seconds:d} seconds'
+)
 def send_with_deadline(context: Context, seconds: int) -> None:
     """Send once and wait."""
 
     async def send(transmit: Callable[[bool], None]) -> None:
         transmit(False)
 
-    run_stock(context, seconds, send)
+    run_plain_caller(context, seconds, send)
 
 
-@when('a stock caller cancels its request after {seconds:d} seconds')
+@when('a plain CoAP caller cancels its request after {seconds:d} seconds')
 def send_and_cancel(context: Context, seconds: int) -> None:
     """Send, wait, cancel."""
 
@@ -160,10 +162,10 @@
         await trio.sleep(seconds)
         transmit(True)
 
-    run_stock(context, 0, send)
+    run_plain_caller(context, 0, send)
 
 
-@when("a stock caller's cancellation arrives before its request")
+@when("a plain CoAP caller's cancellation arrives before its request")
 def cancel_first(context: Context) -> None:
     """Cancel, then send."""
 
@@ -172,53 +174,51 @@
         await trio.sleep(1)
         transmit(False)
 
-    run_stock(context, 0, send)
+    run_plain_caller(context, 0, send)
 
 
-@then('the slow publisher was reset within a second of it')
+@then('the slow upstream stopped within a second of it')
 def check_reset(context: Context) -> None:
     """Compare the end of the work with the end of the wait."""
     ((_, after),) = context.answers
     assert context.ended - context.started <= after + 1, after
 
 
-@then('the slow publisher was told a deadline of at most {seconds:d} second')
-def check_told(context: Context, seconds: int) -> None:
-    """Check the header."""
-    (told,) = (
+@then('the slow upstream received a timeout of at most {seconds:d} second')
+def check_timeout(context: Context, seconds: int) -> None:
+    """Check the timeout header that the upstream received."""
+    (reported,) = (
         entry.timeout_ms for entry in context.ledger if entry.method == 'POST'
     )
-    assert 0 < told <= seconds * 1000, told
+    assert 0 < reported <= seconds * 1000, reported
 
 
-@then(
-    'the deadline\'s answer is {code} as "{verdict}" after {seconds:d} seconds'
-)
+@then('the final answer is {code} as "{verdict}" after {seconds:d} seconds')
 def check_answer(
     context: Context, code: str, verdict: str, seconds: int
 ) -> None:
-    """Check what the caller was told, and when."""
+    """Check the verdict that the caller received, and when."""
     ((answer, after),) = context.answers
     assert (answer.code, answer.verdict) == (code, verdict), answer
     assert seconds <= after < seconds + 0.1, after
 
 
-@then("the deadline's answer says when to come back")
-def check_come_back(context: Context) -> None:
+@then('the final answer has a retry delay')
+def check_retry_delay(context: Context) -> None:
     """Check Max-Age."""
     ((answer, _),) = context.answers
     assert answer.max_age_seconds
 
 
-@then('both deadline\'s answers are {code} as "{verdict}"')
+@then('both answers are {code} as "{verdict}"')
 def check_both(context: Context, code: str, verdict: str) -> None:
     """Check that a refused token stays refused."""
-    told = {(answer.code, answer.verdict) for answer, _ in context.answers}
-    assert told == {(code, verdict)}, told
+    reported = {(answer.code, answer.verdict) for answer, _ in context.answers}
+    assert reported == {(code, verdict)}, reported
     assert len(context.answers) == 2
 
 
-@then('the slow publisher has run nothing')
+@then('the slow upstream has run no request')
 def check_nothing(context: Context) -> None:
-    """Look into the ledger."""
+    """Check that the upstream has run no POST."""
     assert not [entry for entry in context.ledger if entry.method == 'POST']
