--- a/tests/requests/feeds.feature
+++ b/tests/requests/feeds.feature
@@ -1,27 +1,27 @@
 Feature: Feeds
-  A driver holds a route feed for a whole round. In the valley datagrams are
-  lost, doubled and late, and an entry VM dies in the middle of the round. The
-  driver must see each stop once and in order, and no stop of another round.
+  A caller must receive each notification of its feed once and in order, and
+  none of another feed, although datagrams are lost, duplicated and delayed and
+  entry VMs and upstreams fail.
 
   Scenario: Notifications come in order on lossy links
     Given a route feed behind three entry VMs
     When two route feeds are read for 60 seconds on lossy links
-    Then each route feed is in order, whole and its own
+    Then each route feed is in order, complete and unmixed
 
-  Scenario: The owner dies in the middle of a round
+  Scenario: The owner dies while feeds are read
     Given a route feed behind three entry VMs
     When two route feeds are read for 80 seconds while their owner dies
-    Then each route feed is in order, whole and its own
+    Then each route feed is in order, complete and unmixed
 
-  Scenario: The owner stops as planned in the middle of a round
+  Scenario: The owner stops as planned while feeds are read
     Given a route feed behind three entry VMs
     When two route feeds are read for 80 seconds while their owner stops
-    Then each route feed is in order, whole and its own
+    Then each route feed is in order, complete and unmixed
 
-  Scenario Outline: Feeds move away in the middle of a round
+  Scenario Outline: Feeds move to another owner or upstream
     Given a route feed behind three entry VMs
     When two route feeds are read for 50 seconds while their <giving>
-    Then each route feed is in order, whole and its own
+    Then each route feed is in order, complete and unmixed
 
     Examples:
       | giving           |
@@ -29,14 +29,14 @@
       | owner ends them  |
       | upstream leaves  |
 
-  Scenario: The upstream is lost and another one goes on
+  Scenario: The upstream is lost and another one continues
     Given a route feed behind three entry VMs
     When two route feeds are read for 80 seconds while their upstream is lost
-    Then each route feed is in order, whole and its own
+    Then each route feed is in order, complete and unmixed
 
-  Scenario: A dead caller is noticed
-    A phone falls into the river. Nobody tells the owner, which would go on
-    sending and keep a stream at the upstream open for ever.
+  Scenario: The feed of a dead caller ends
+    The owner is not informed that the caller has died. It would send
+    notifications and keep a stream at the upstream open forever.
 
     Given a route feed behind three entry VMs
     When the caller of a route feed dies
@@ -47,10 +47,10 @@
     When the caller of a route feed closes it
     Then no route feed is open after 1 seconds
 
-  Scenario: An idle session keeps a valid cookie by its feed
+  Scenario: A feed keeps the cookie of an idle session valid
     Given a route feed behind three entry VMs
-    When a route feed is held for 200 seconds and a portion is confirmed
-    Then the portion ran once under a cookie that was younger than 60 seconds
+    When a route feed is held for 200 seconds and one POST is sent
+    Then the POST ran once under a cookie that was younger than 60 seconds
 
   Scenario: A feed that the upstream does not have ends with its answer
     Given a route feed behind three entry VMs
--- a/tests/steps/requests_feeds.py
+++ b/tests/steps/requests_feeds.py
@@ -29,7 +29,7 @@
 
 
 @asynccontextmanager
-async def open_rounds(context: Context) -> AsyncGenerator[World, None]:
+async def open_feed_world(context: Context) -> AsyncGenerator[World, None]:
     """Open three entry VMs in one domain with two upstreams."""
     async with open_world(context.seed) as world:
         upstreams = tuple(
@@ -48,7 +48,7 @@
 
 
 def owner(world: World) -> tuple[str, RunningNode]:
-    """Return a node that carries a feed."""
+    """Return a node that serves a feed."""
     return next(
         (name, running)
         for name, running in world.nodes.items()
@@ -57,7 +57,7 @@
 
 
 def open_count(running: RunningNode) -> int:
-    """Return how many feeds a node carries."""
+    """Return the number of feeds that a node serves."""
     owned = running.node.owners.owned.values()
     return sum(len(upstream.feeds.feeds) for upstream in owned)
 
@@ -65,7 +65,7 @@
 async def read(
     world: World, name: str, seconds: float, seen: list[Notification]
 ) -> None:
-    """Read one feed for a time."""
+    """Read one feed for a number of seconds."""
     async with (
         world.session(SERVICE) as session,
         open_feed(session, ('feeds', name)) as reader,
@@ -75,12 +75,12 @@
                 seen.append(await reader.receive())
 
 
-async def calm(world: World) -> None:
-    """Do nothing to the fleet."""
+async def cause_no_fault(world: World) -> None:
+    """Cause no fault."""
 
 
 async def kill_owner(world: World) -> None:
-    """Kill the owner of the feeds; its VM's addresses stay silent."""
+    """Kill the owner of the feeds; its addresses do not answer."""
     await trio.sleep(30)
     name, _ = owner(world)
     world.kill_node(name)
@@ -93,8 +93,8 @@
     await world.stop_node(name)
 
 
-async def lose_upstream(world: World) -> None:
-    """End the upstream that writes the feeds."""
+async def kill_upstream(world: World) -> None:
+    """Kill the upstream that sends the feeds."""
     await trio.sleep(30)
     _, running = owner(world)
     lost = next(
@@ -105,8 +105,8 @@
     world.network.kill(lost.host)
 
 
-def tables(world: World) -> list[FeedTable]:
-    """Return the feeds of every upstream."""
+def feed_tables(world: World) -> list[FeedTable]:
+    """Return the feed table of every upstream."""
     return [
         upstream.feeds
         for running in world.nodes.values()
@@ -115,27 +115,29 @@
 
 
 async def hand_over(world: World) -> None:
-    """Hand each open feed over to the owner of the other upstream."""
+    """Hand each open feed over to the table of the other upstream."""
     await trio.sleep(30)
     moves = []
-    for table in tables(world):
-        heir = next(known for known in tables(world) if known is not table)
-        moves += [(heir, state) for state in table.stop_all()]
+    for table in feed_tables(world):
+        target = next(
+            other for other in feed_tables(world) if other is not table
+        )
+        moves += [(target, state) for state in table.stop_all()]
     assert len(moves) == len(NAMES)
-    for heir, state in moves:
+    for target, state in moves:
         nursery = world.require_nursery()
-        nursery.start_soon(heir.resume, state, ('former-owner',))
+        nursery.start_soon(target.resume, state, ('former-owner',))
 
 
 async def end_feeds(world: World) -> None:
-    """Tell the callers of every feed to open it elsewhere."""
+    """End all feeds, so that their callers open them again."""
     await trio.sleep(30)
-    for table in tables(world):
+    for table in feed_tables(world):
         table.end_all(Reason.STOPPING)
 
 
 async def drain_upstream(world: World) -> None:
-    """Let the upstream that writes the feeds say that it leaves."""
+    """Set the upstream that sends the feeds to draining."""
     await trio.sleep(30)
     _, running = owner(world)
     leaving = next(
@@ -145,17 +147,17 @@
     )
     world.upstreams[leaving].state = HealthState.DRAINING
     await trio.sleep(5)
-    left = {table.upstream for table in tables(world) if table.feeds}
+    left = {table.upstream for table in feed_tables(world) if table.feeds}
     assert left == set(world.upstreams) - {leaving}, left
 
 
 def read_feeds(context: Context, seconds: float, fault: Fault) -> None:
-    """Read two feeds at once while something happens."""
+    """Read two feeds at once during a fault."""
     context.seen = {name: [] for name in NAMES}
     context.seconds = seconds
 
-    async def story() -> None:
-        async with open_rounds(context) as world:
+    async def script() -> None:
+        async with open_feed_world(context) as world:
             faults = world.network.faults
             faults.loss, faults.copies = 0.1, 0.1
             faults.jitter_seconds = 0.8
@@ -164,40 +166,40 @@
                 for name, seen in context.seen.items():
                     nursery.start_soon(read, world, name, seconds, seen)
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
 @given('a route feed behind three entry VMs')
-def plan_rounds(context: Context) -> None:
-    """Start without an outcome."""
+def reset_failure(context: Context) -> None:
+    """Reset the failure."""
     context.failure = None
 
 
 @when('two route feeds are read for {seconds:d} seconds on lossy links')
 def read_lossy(context: Context, seconds: int) -> None:
-    """Read while nothing but the links fails."""
-    read_feeds(context, seconds, calm)
+    """Read with faults of the links only."""
+    read_feeds(context, seconds, cause_no_fault)
 
 
 @when('two route feeds are read for {seconds:d} seconds while their {fault}')
 def read_with_fault(context: Context, seconds: int, fault: str) -> None:
-    """Read while something ends."""
+    """Read during a fault."""
     faults = {
         'owner dies': kill_owner,
         'owner hands over': hand_over,
         'owner ends them': end_feeds,
         'upstream leaves': drain_upstream,
         'owner stops': stop_owner,
-        'upstream is lost': lose_upstream,
+        'upstream is lost': kill_upstream,
     }
     read_feeds(context, seconds, faults[fault])
 
 
-@then('each route feed is in order, whole and its own')
+@then('each route feed is in order, complete and unmixed')
 def check_feeds(context: Context) -> None:
-    """Compare with what the stand-ins write at each position."""
+    """Compare with the notification of the stand-ins at each position."""
     for name, seen in context.seen.items():
-        # Two lines a second; the end of the story may cut off a pause.
+        # Two lines per second; the end of the script may fall into a gap.
         assert len(seen) > context.seconds, len(seen)
         first = seen[0].position
         expected = [
@@ -211,11 +213,11 @@
 
 
 @when('the caller of a route feed dies')
-def lose_caller(context: Context) -> None:
-    """Read until the caller's host dies without a word."""
+def kill_caller(context: Context) -> None:
+    """Read until the caller's host dies without closing the feed."""
 
-    async def story() -> None:
-        async with open_rounds(context) as world:
+    async def script() -> None:
+        async with open_feed_world(context) as world:
             seen: list[Notification] = []
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(read, world, NAMES[0], 600, seen)
@@ -226,34 +228,34 @@
                 context.left = sum(map(open_count, world.nodes.values()))
                 nursery.cancel_scope.cancel()
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
 @when('the caller of a route feed closes it')
 def close_feed(context: Context) -> None:
     """Read for a while and close."""
 
-    async def story() -> None:
-        async with open_rounds(context) as world:
+    async def script() -> None:
+        async with open_feed_world(context) as world:
             await read(world, NAMES[0], 10, [])
             await trio.sleep(1)
             context.left = sum(map(open_count, world.nodes.values()))
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
 @then('no route feed is open after {seconds:d} seconds')
 def check_closed(context: Context, seconds: int) -> None:
-    """Check what the nodes still carry."""
+    """Check that no node serves a feed any more."""
     assert context.left == 0, context.left
 
 
-@when('a route feed is held for {seconds:d} seconds and a portion is confirmed')
+@when('a route feed is held for {seconds:d} seconds and one POST is sent')
 def hold_feed(context: Context, seconds: int) -> None:
-    """Hold a feed and post once at its end."""
+    """Hold a feed, then send one POST."""
 
-    async def story() -> None:
-        async with open_rounds(context) as world:
+    async def script() -> None:
+        async with open_feed_world(context) as world:
             node = next(iter(world.nodes.values())).node
             clock = VirtualClock()
             sealer = SignedCookieSealer(keys=node.keys, clock=clock)
@@ -273,15 +275,14 @@
                 for entry in upstream.ledger
             ]
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
 @then(
-    'the portion ran once under a cookie that was younger than {seconds:d} '
-    'seconds'
+    'the POST ran once under a cookie that was younger than {seconds:d} seconds'
 )
 def check_cookie_age(context: Context, seconds: int) -> None:
-    """Check the cookie and the ledgers."""
+    """Check the age of the cookie and the requests that ran."""
     assert context.age < seconds, context.age
     assert context.ran == [b'7'], context.ran
 
@@ -290,9 +291,9 @@
 def open_unknown(context: Context) -> None:
     """Open a feed that the stand-in answers with 404."""
 
-    async def story() -> None:
+    async def script() -> None:
         async with (
-            open_rounds(context) as world,
+            open_feed_world(context) as world,
             world.session(SERVICE) as session,
             open_feed(session, ('feeds', 'unknown')) as reader,
         ):
@@ -301,7 +302,7 @@
             except CallFailedError as failure:
                 context.failure = failure
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
 @then('the route feed fails as "{reason}"')
@@ -312,16 +313,16 @@
 
 
 @when('a route feed\'s line "{line}" is read')
-def take_line(context: Context, line: str) -> None:
+def parse_one_line(context: Context, line: str) -> None:
     """Read one line."""
     context.read = partial(parse_line, line.encode())
 
 
 @then("the route feed's line is refused")
 def check_line(context: Context) -> None:
-    """Check that the line is no notification."""
+    """Check that the line is refused."""
     try:
         context.read()
     except RequestFailedError:
         return
-    raise AssertionError('the line was taken')
+    raise AssertionError('the line was accepted')
