--- a/tests/requests/malformed.feature
+++ b/tests/requests/malformed.feature
@@ -1,9 +1,9 @@
 Feature: Malformed datagrams
-  Anybody can send any bytes to a VM. One odd datagram ended a process, or left
-  a task behind for each copy, and every session at that VM was lost.
+  Any bytes may arrive at a VM. A malformed datagram must neither end the
+  process, which loses all sessions of the VM, nor leave a task behind.
 
   Scenario Outline: CoAP says how a datagram is answered
-    Given an entry VM that takes any bytes
+    Given an entry VM that receives any bytes
     When the bytes "<sent>" arrive
     Then the bytes are answered by "<answer>"
 
@@ -25,7 +25,7 @@
       | 40 01 12 34 35   | 70 00 12 34   | an option cut off         |
       | 40 01 12 34 31 FF | 70 00 12 34  | a host that is not UTF-8  |
 
-    Examples: requests that CoAP wants refused
+    Examples: requests that CoAP requires to be refused
       | sent                    | answer                    | why               |
       | 40 01 12 34 31 78 61 00 | BAD_OPTION                | critical option 9 |
       | 50 01 12 34 31 78 61 00 | none                      | the same as NON   |
@@ -36,15 +36,15 @@
       | 40 01 12 34 D1 0A 07    | BAD_REQUEST               | block exponent 7  |
       | 40 01 12 34 31 78       | NOT_FOUND                 | unknown service   |
 
-  Scenario: No bytes break the decoder
+  Scenario: The decoder raises only errors of its own for any bytes
     When 800 fuzzed datagrams are decoded
-    Then each fuzzed datagram is a request, or refused as one error of ours
+    Then each fuzzed datagram is a request, or refused with a defined error
 
-  Scenario: No bytes break an answer's reader
+  Scenario: The decoder of answers raises only errors of its own
     When 800 fuzzed answers are decoded
-    Then each fuzzed datagram is a request, or refused as one error of ours
+    Then each fuzzed datagram is a request, or refused with a defined error
 
-  Scenario: No bytes break a node
+  Scenario: A node survives any bytes
     When 12 bursts of fuzzed datagrams reach a node
     Then the fuzzed node still serves, without a task left behind
-    And the fuzzed node has counted what it could not read
+    And the fuzzed node has counted malformed datagrams
--- a/tests/steps/requests_malformed.py
+++ b/tests/steps/requests_malformed.py
@@ -62,48 +62,48 @@
 
 
 @attrs.frozen
-class Damage:
-    """Hold one change of a well-formed datagram."""
+class Mutation:
+    """Hold one mutation of a well-formed datagram."""
 
     at: int
     drop: int
     insert: bytes
 
     def apply(self, whole: bytes) -> bytes:
-        """Return the datagram with the change."""
+        """Return the mutated datagram."""
         at = self.at % (len(whole) + 1)
         return whole[:at] + self.insert + whole[at + self.drop :]
 
 
 def fuzzed(whole: bytes) -> st.SearchStrategy[bytes]:
-    """Make any bytes, and well-formed datagrams with some damage."""
-    damage = st.builds(
-        Damage,
+    """Generate random bytes and mutated well-formed datagrams."""
+    mutation = st.builds(
+        Mutation,
         st.integers(0, len(whole)),
         st.integers(0, 6),
         st.binary(max_size=6),
     )
-    damaged = st.lists(damage, max_size=4).map(
-        lambda changes: apply_all(whole, changes)
+    mutated = st.lists(mutation, max_size=4).map(
+        lambda mutations: apply_all(whole, mutations)
     )
-    return st.one_of(st.binary(max_size=80), damaged)
+    return st.one_of(st.binary(max_size=80), mutated)
 
 
-def apply_all(whole: bytes, changes: list[Damage]) -> bytes:
-    """Apply several changes, one after the other."""
-    for change in changes:
-        whole = change.apply(whole)
+def apply_all(whole: bytes, mutations: list[Mutation]) -> bytes:
+    """Apply several mutations in order."""
+    for mutation in mutations:
+        whole = mutation.apply(whole)
     return whole
 
 
 def bounded(count: int) -> hypothesis.settings:
-    """Run the same examples on every run."""
+    """Return settings for the same examples on every run."""
     return hypothesis.settings(
         max_examples=count,
         derandomize=True,
         database=None,
         deadline=None,
-        # Shrinking a failure takes minutes; the seed shows it as it is.
+        # Shrinking a failure takes minutes; the seed reproduces it anyway.
         phases=(hypothesis.Phase.generate,),
         suppress_health_check=list(hypothesis.HealthCheck),
     )
@@ -124,17 +124,17 @@
         yield world
 
 
-@given('an entry VM that takes any bytes')
-def plan_any_bytes(context: Context) -> None:
-    """Start without an answer."""
+@given('an entry VM that receives any bytes')
+def reset_received(context: Context) -> None:
+    """Reset the received datagrams."""
     context.received = []
 
 
 @when('the bytes "{sent}" arrive')
 def send_bytes(context: Context, sent: str) -> None:
-    """Send one datagram and keep what comes back."""
+    """Send one datagram and store the answers."""
 
-    async def story() -> None:
+    async def script() -> None:
         async with open_ledger(context) as world:
             socket = world.network.bind(Address(world.new_host(), 5000))
             socket.send(bytes.fromhex(sent), SERVICE_ADDRESS)
@@ -143,25 +143,27 @@
                     for datagram in await socket.receive():
                         context.received.append(datagram.payload)
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
 @then('the bytes are answered by "{answer}"')
 def check_bytes(context: Context, answer: str) -> None:
-    """Compare with the bytes or the code."""
+    """Compare the answer with the expected bytes or code."""
     if answer == 'none':
         assert context.received == []
     elif answer[0].isdigit():
         assert context.received == [bytes.fromhex(answer)], context.received
     else:
         (payload,) = context.received
-        _, told = decode_answer(payload)
-        assert (told.code, told.verdict) == (answer, Verdict.NOT_RUN), told
+        _, decoded = decode_answer(payload)
+        assert (decoded.code, decoded.verdict) == (answer, Verdict.NOT_RUN), (
+            decoded
+        )
 
 
 @when('{count:d} fuzzed datagrams are decoded')
 def fuzz_requests(context: Context, count: int) -> None:
-    """Decode what callers could send."""
+    """Decode datagrams that callers could send."""
     context.others = []
 
     @bounded(count)
@@ -177,7 +179,7 @@
 
 @when('{count:d} fuzzed answers are decoded')
 def fuzz_answers(context: Context, count: int) -> None:
-    """Decode what callers could receive."""
+    """Decode datagrams that callers could receive."""
     context.others = []
 
     @bounded(count)
@@ -191,15 +193,15 @@
     decode()
 
 
-@then('each fuzzed datagram is a request, or refused as one error of ours')
+@then('each fuzzed datagram is a request, or refused with a defined error')
 def check_decoded(context: Context) -> None:
-    """Any other error would have ended the step before."""
+    """Check nothing more: another error would have failed the step before."""
     assert context.others == []
 
 
 @when('{count:d} bursts of fuzzed datagrams reach a node')
 def fuzz_node(context: Context, count: int) -> None:
-    """Send bursts, some with a genuine cookie, and look at the node after."""
+    """Send bursts, some with a valid cookie, and record the node's state."""
     context.left = []
     context.answered = []
     context.counted = 0
@@ -213,9 +215,9 @@
             async with world.session(SERVICE) as session:
                 await session.request('GET', ('counts',))
                 for payload in burst:
-                    genuine = payload.replace(bytes(40), session.cookie)
-                    session.socket.send(genuine, SERVICE_ADDRESS)
-                # Longer than any deadline, lease and repeat.
+                    with_cookie = payload.replace(bytes(40), session.cookie)
+                    session.socket.send(with_cookie, SERVICE_ADDRESS)
+                # Longer than any deadline, lease and retransmission.
                 await trio.sleep(200)
                 context.left.append(len(nursery.child_tasks) - before)
                 answer = await session.request('POST', ('returns',))
@@ -223,6 +225,8 @@
             counters = running.node.counters
             context.counted += counters.value('malformed_datagrams')
 
+    # Hypothesis derives its examples from the source of this function, so
+    # another name in it would change them.
     @bounded(count)
     @hypothesis.given(
         st.lists(
@@ -239,12 +243,12 @@
 
 @then('the fuzzed node still serves, without a task left behind')
 def check_node(context: Context) -> None:
-    """Check tasks and answers of every burst."""
+    """Check the tasks and the answer after every burst."""
     assert set(context.left) == {0}, context.left
     assert set(context.answered) == {'CHANGED'}, context.answered
 
 
-@then('the fuzzed node has counted what it could not read')
+@then('the fuzzed node has counted malformed datagrams')
 def check_counted(context: Context) -> None:
-    """Check that the counter moved."""
+    """Check that the counter has increased."""
     assert context.counted > 0
