--- a/tests/steps/requests_blocks.py
+++ b/tests/steps/requests_blocks.py
@@ -21,12 +21,16 @@
 
 SERVICE = 'statement-desk'
 FLOW = b'flow-1'
-# Not run, and soon possible: no owner yet, or an owner that starts cold.
-COME_BACK = {Reason.NO_UPSTREAM, Reason.UPSTREAM_COLD, Reason.UPSTREAM_DOWN}
+# Refusals to retry: there is no owner yet, or it is in a cold start.
+RETRIED_REASONS = {
+    Reason.NO_UPSTREAM,
+    Reason.UPSTREAM_COLD,
+    Reason.UPSTREAM_DOWN,
+}
 
 
 @asynccontextmanager
-async def open_desk(context: Context) -> AsyncGenerator[World, None]:
+async def open_upstream(context: Context) -> AsyncGenerator[World, None]:
     """Open three entry VMs of one domain with one upstream."""
     async with open_world(context.seed) as world:
         upstream = world.start_upstream(SERVICE, 'desk-1', 'cz-a')
@@ -42,7 +46,7 @@
 
 
 async def call(context: Context, world: World, method: str, size: int) -> None:
-    """Send one request and keep its answer or failure."""
+    """Send one request and store its answer or failure."""
     path = ('statements', f'{size}') if method == 'GET' else ('returns',)
     payload = b'' if method == 'GET' else bytes(size)
     async with world.session(SERVICE) as session:
@@ -52,8 +56,8 @@
                     method, path, payload=payload, timeout_seconds=30
                 )
             except CallFailedError as failure:
-                # The next owner needs a moment; a caller comes back then.
-                if failure.reason in COME_BACK:
+                # The next owner needs a moment; the caller retries after it.
+                if failure.reason in RETRIED_REASONS:
                     await trio.sleep(failure.retry_after_seconds)
                 else:
                     context.failure = failure
@@ -62,8 +66,8 @@
 
 
 @given('a block-wise upstream behind three entry VMs')
-def plan_desk(context: Context) -> None:
-    """Start without an answer."""
+def reset_outcome(context: Context) -> None:
+    """Reset the answer and the failure."""
     context.answer = None
     context.failure = None
 
@@ -72,29 +76,29 @@
 def fetch(context: Context, size: int) -> None:
     """Fetch a statement."""
 
-    async def story() -> None:
-        async with open_desk(context) as world:
+    async def script() -> None:
+        async with open_upstream(context) as world:
             await call(context, world, 'GET', size)
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
 @when('a block-wise caller posts {size:d} bytes')
 def post(context: Context, size: int) -> None:
     """Post a body."""
 
-    async def story() -> None:
-        async with open_desk(context) as world:
+    async def script() -> None:
+        async with open_upstream(context) as world:
             await call(context, world, 'POST', size)
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
-@when('a block-wise caller fetches {size:d} bytes while their owner ends')
-def fetch_without_owner(context: Context, size: int) -> None:
-    """End the VM that keeps the statement after some blocks."""
+@when('a block-wise caller fetches {size:d} bytes while their owner dies')
+def fetch_while_owner_dies(context: Context, size: int) -> None:
+    """Kill the VM that stores the answer after some blocks."""
 
-    async def end_owner(world: World) -> None:
+    async def kill_owner(world: World) -> None:
         await trio.sleep(0.1)
         (name,) = (
             name
@@ -104,20 +108,20 @@
         world.kill_node(name)
         world.platform.current.pop(keys.VMS + name)
 
-    async def story() -> None:
+    async def script() -> None:
         async with (
-            open_desk(context) as world,
+            open_upstream(context) as world,
             trio.open_nursery() as nursery,
         ):
-            nursery.start_soon(end_owner, world)
+            nursery.start_soon(kill_owner, world)
             await call(context, world, 'GET', size)
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
 @when('a block-wise caller posts for {size:d} bytes while their owner stops')
 def fetch_while_stopping(context: Context, size: int) -> None:
-    """Stop the VM that keeps the statement while blocks are fetched."""
+    """Stop the VM that stores the answer while blocks are fetched."""
 
     async def stop_owner(world: World) -> None:
         await trio.sleep(0.3)
@@ -128,9 +132,9 @@
         )
         await world.stop_node(name)
 
-    async def story() -> None:
+    async def script() -> None:
         async with (
-            open_desk(context) as world,
+            open_upstream(context) as world,
             world.session(SERVICE) as session,
             trio.open_nursery() as nursery,
         ):
@@ -141,27 +145,27 @@
             context.ledger = world.upstreams['desk-1'].ledger
             context.size = size
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
 @then('the block-wise upstream has run one request')
 def check_one_run(context: Context) -> None:
-    """Look into the upstream's ledger."""
+    """Check that the upstream has run one request."""
     assert len(context.ledger) == 1
 
 
-@then('the block-wise answer is whole')
+@then('the block-wise answer is complete')
 def check_whole(context: Context) -> None:
-    """Compare with what one run of the upstream wrote."""
+    """Compare with the answer of one run of the upstream."""
     assert context.answer is not None, context.failure
     run = run_of(context.answer.payload)
-    whole = statement(by='desk-1', run=run, size=context.size)
-    assert context.answer.payload == whole.encode()
+    expected = statement(by='desk-1', run=run, size=context.size)
+    assert context.answer.payload == expected.encode()
 
 
-@then('the block-wise upstream has run it whole and once')
+@then('the block-wise upstream has run the complete body once')
 def check_ran_once(context: Context) -> None:
-    """Look into the upstream's ledger."""
+    """Check the size of the body that the upstream has run."""
     assert [len(entry.payload) for entry in context.ledger] == [context.size]
     assert context.answer is not None, context.failure
 
@@ -178,10 +182,10 @@
     assert ran == (context.failure.verdict is Verdict.RAN)
 
 
-@given('a block-wise keeper for {limit:d} bytes')
-def make_keeper(context: Context, limit: int) -> None:
-    """Make a keeper whose headroom is two fifths."""
-    context.keeper = EtagAnswerStore(
+@given('a block-wise store of {limit:d} bytes')
+def make_store(context: Context, limit: int) -> None:
+    """Create a store whose headroom is 2/5 of its limit."""
+    context.store = EtagAnswerStore(
         rng=Random(1), limit_bytes=limit, headroom_bytes=limit * 2 // 5
     )
     context.blocks = []
@@ -199,29 +203,29 @@
     )
 
 
-@when('block-wise answers of {size:d} bytes are kept until one is refused')
+@when('block-wise answers of {size:d} bytes are stored until one is refused')
 def fill(context: Context, size: int) -> None:
-    """Keep answers until the keeper has no room."""
+    """Store answers until the store refuses one."""
     answer = Answer(code='CONTENT', verdict=Verdict.RAN, payload=bytes(size))
 
-    async def story() -> None:
+    async def script() -> None:
         try:
             while True:
-                context.keeper.require_capacity()
+                context.store.require_capacity()
                 context.blocks.append(
-                    context.keeper.first_block(FLOW, get(), answer)
+                    context.store.first_block(FLOW, get(), answer)
                 )
         except RequestFailedError as refused:
             context.refused = refused
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
 @then(
-    'the block-wise keeper held {count:d} answers and refused as '
+    'the block-wise store held {count:d} answers and refused as '
     '"{reason}" and "{verdict}"'
 )
-def check_refused_room(
+def check_refused_answer(
     context: Context, count: int, reason: str, verdict: str
 ) -> None:
     """Check the refusal."""
@@ -230,30 +234,30 @@
     assert context.refused.verdict == verdict
 
 
-@when('the kept block-wise answers are fetched')
-def fetch_kept(context: Context) -> None:
-    """Ask for the last block of each."""
+@when('the stored block-wise answers are fetched')
+def fetch_stored(context: Context) -> None:
+    """Fetch the last block of each answer."""
 
-    async def story() -> None:
+    async def script() -> None:
         for first in context.blocks:
             last = Block(number=(first.size2 - 1) // 1024)
-            block = context.keeper.later_block(
+            block = context.store.later_block(
                 FLOW, get(block2=last, etag=first.etag)
             )
             assert block.etag == first.etag
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
-@then('the block-wise keeper has room again')
-def check_room(context: Context) -> None:
-    """Check that a request would be let through."""
+@then('the block-wise store has space again')
+def check_space(context: Context) -> None:
+    """Check that a request would not be refused."""
 
-    async def story() -> None:
-        context.keeper.require_capacity()
-        assert context.keeper.fetching_count() == 0
+    async def script() -> None:
+        context.store.require_capacity()
+        assert context.store.fetching_count() == 0
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
 @given('a body of {count:d} blocks')
@@ -263,22 +267,22 @@
 
 
 @when('its blocks arrive in the order {order}')
-def take_blocks(context: Context, order: str) -> None:
+def assemble_blocks(context: Context, order: str) -> None:
     """Add the blocks; the last one completes the body."""
     assembler = BodyAssembler()
     numbers = [int(word) for word in order.split()]
 
-    async def story() -> None:
+    async def script() -> None:
         for number in numbers[:-1]:
             assembler.add(FLOW, block(context.body, number))
         try:
             done = assembler.complete(FLOW, block(context.body, numbers[-1]))
-            context.whole = done.payload
+            context.assembled = done.payload
         except RequestFailedError as refused:
             context.refused = refused
         assert assembler.used_bytes == 0
 
-    run_seeded(context.seed, story)
+    run_seeded(context.seed, script)
 
 
 def block(body: bytes, number: int) -> CallerRequest:
@@ -292,10 +296,10 @@
     )
 
 
-@then('the body is put together whole')
+@then('the body is assembled completely')
 def check_body(context: Context) -> None:
     """Compare the bodies."""
-    assert context.whole == context.body
+    assert context.assembled == context.body
 
 
 @then('the body is refused as "{reason}"')
--- a/tests/steps/requests_proofs.py
+++ b/tests/steps/requests_proofs.py
@@ -1,4 +1,4 @@
-"""Steps that run the proofs of requests."""
+"""Steps that run the proofs about requests."""
 
 from behave import then, when
 from behave.runner import Context
@@ -16,7 +16,7 @@
 
 @when('the request proof "{name}" runs on seeds 1 to {last:d}')
 def run_guarded(context: Context, name: str, last: int) -> None:
-    """Run a proof as the product is."""
+    """Run a proof with the components of the product."""
     context.proof = require_proof(name)
     context.proven = [
         context.proof.run(seed=seed, control=False)
@@ -24,11 +24,9 @@
     ]
 
 
-@when(
-    'the request proof "{name}" runs on seeds 1 to {last:d} without its guard'
-)
+@when('the request proof "{name}" runs on seeds 1 to {last:d} as a control run')
 def run_control(context: Context, name: str, last: int) -> None:
-    """Run a proof with the naive baseline in the guard's place."""
+    """Run a proof with a baseline in the place of a component."""
     context.proven = [
         require_proof(name).run(seed=seed, control=True)
         for seed in range(1, last + 1)
@@ -45,7 +43,7 @@
 
 @then('the request promise is broken each time')
 def check_broken(context: Context) -> None:
-    """Check that the proof sees what the guard prevents."""
+    """Check that the proof detects the violation on every seed."""
     assert not any(proven.held for proven in context.proven)
 
 
