--- a/tests/requests/cookies.feature
+++ b/tests/requests/cookies.feature
@@ -1,7 +1,7 @@
 Feature: Cookies of callers
-  A request with a missing, forged, foreign, stolen or expired cookie must not
-  run, although it is reported as "not run", and answers must not be used to
-  flood an address that has not been verified.
+  A request with a missing, forged, foreign, stolen or expired cookie is refused
+  as "not run" and must not run. Answers must not be usable to flood an address
+  that was not verified.
 
   Scenario Outline: A request with an invalid cookie is refused and never runs
     Given a ledger behind two entry VMs
