--- a/burdocksill/entry/rerouting.py
+++ b/burdocksill/entry/rerouting.py
@@ -16,7 +16,7 @@
 
 @attrs.define(kw_only=True)
 class DelayedRerouting:
-    """Delay packets that were relayed in a loop and route them delayed.
+    """Delay packets that were relayed in a loop and route them again.
 
     While members join or leave, two VMs may consider each other the owner. An
     answer now would report a request as lost although the holder of its epoch
@@ -27,24 +27,24 @@
     waiting: int = 0
 
     def is_allowed(self, envelope: Envelope) -> bool:
-        """Return True if a packet may be delayed once more."""
-        few = envelope.reroutes < MAX_REROUTES
-        return few and self.waiting < MAX_WAITING_PACKETS
+        """Return True while a packet may wait for the views to agree."""
+        below_limit = envelope.reroutes < MAX_REROUTES
+        return below_limit and self.waiting < MAX_WAITING_PACKETS
 
     async def route_later(
         self,
         envelope: Envelope,
         route: Callable[[Envelope], None],
     ) -> None:
-        """Wait REROUTE_DELAY_SECONDS, then route the packet as a new one."""
+        """Wait a moment, then route the packet as if it had just arrived."""
         self.waiting += 1
         try:
             await trio.sleep(REROUTE_DELAY_SECONDS)
         finally:
             self.waiting -= 1
-        delayed = attrs.evolve(
+        again = attrs.evolve(
             envelope,
             hops=envelope.hops[-1:],
             reroutes=envelope.reroutes + 1,
         )
-        route(delayed)
+        route(again)
