--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -41,12 +41,12 @@
 
 
 def make_fence(members: MemberView) -> Fence:
-    """Create the fence of a VM."""
+    """Make the fence of a node."""
     return PauseFence(members=members)
 
 
 def make_adaptive_limiter(upstream: Upstream, rng: Random) -> Limiter:
-    """Create the limiter of an upstream, in its cold start."""
+    """Make the limiter of an upstream, cold."""
     return make_limiter(
         name=upstream.name,
         slots=upstream.slots,
@@ -56,7 +56,7 @@
 
 
 def make_leaving_rule(store: DocumentStore) -> LeavingRule:
-    """Create the rule that decides whether an upstream is leaving."""
+    """Make the rule that decides whether an upstream is leaving."""
     return AnySourceRule(store=store)
 
 
@@ -66,7 +66,7 @@
     rng: Random,
     hints: HintTable,
 ) -> Placer:
-    """Create the placer of new flows."""
+    """Make the placer of new flows."""
     return TwoChoicePlacer(
         members=members,
         store=store,
@@ -76,7 +76,7 @@
 
 
 def make_answer_store(rng: Random) -> AnswerStore:
-    """Create the store of answers that are larger than a block."""
+    """Make the store of answers that are larger than a block."""
     return EtagAnswerStore(rng=rng)
 
 
@@ -108,5 +108,5 @@
     answers: Callable[[Random], AnswerStore] = make_answer_store
 
     def transfers(self, rng: Random) -> Transfers:
-        """Create the block-wise transfers of a VM."""
+        """Make the block-wise transfers of a VM."""
         return Transfers(answers=self.answers(rng))
