--- a/burdocksill/entry/domains.py
+++ b/burdocksill/entry/domains.py
@@ -104,10 +104,10 @@
         """
         document = self.store.services.get(envelope.request.service)
         exclude = frozenset((upstream,))
-        few = len(envelope.hops) < MAX_PLACEMENT_HOPS
+        below_limit = len(envelope.hops) < MAX_PLACEMENT_HOPS
         if (
             document is not None
-            and few
+            and below_limit
             and self.placer.place(
                 document,
                 exclude=exclude,
