--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -250,7 +250,9 @@
     def route_by_cookie(self, envelope: Envelope, cookie: Cookie) -> None:
         """Route a request to the VM that holds its cookie's epoch, if known."""
         service = envelope.request.service
-        held = self.owners.find(service, cookie.upstream_tag, cookie.epoch)
+        local_upstream = self.owners.find(
+            service, cookie.upstream_tag, cookie.epoch
+        )
         holder = self.members.find(cookie.owner_tag)
         reachable = holder is not None and self.evacuation.can_relay(
             holder, envelope
@@ -258,10 +260,13 @@
         # After a handover the successor holds the epoch, but the VM named in
         # the cookie still stores the answers whose blocks are being fetched.
         stores_answer = reachable and asks_later_block(envelope.request)
-        holds = held is not None and held.epochs.find(cookie.epoch) is not None
-        if held is not None and holds and not stores_answer:
+        holds_epoch = (
+            local_upstream is not None
+            and local_upstream.epochs.find(cookie.epoch) is not None
+        )
+        if local_upstream is not None and holds_epoch and not stores_answer:
             self.decisions.followed(envelope, cookie, self.members.local_member)
-            self.start_task(envelope, held.serve, envelope, cookie)
+            self.start_task(envelope, local_upstream.serve, envelope, cookie)
             return
         if self.evacuation.is_evacuated(service, cookie):
             self.evacuation.place_evacuated(envelope)
