--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -123,16 +123,19 @@
         ]:
             self.release(key)
         for key, target in assigned.items():
-            held = self.owned.get(key)
+            current = self.owned.get(key)
             current_address = target.upstream.address
-            if held is not None and held.upstream.address != current_address:
+            if (
+                current is not None
+                and current.upstream.address != current_address
+            ):
                 self.release(key)
-                held = None
-            if held is None:
+                current = None
+            if current is None:
                 self.acquire(key, target)
             else:
-                held.document = target.document
-                held.upstream = target.upstream
+                current.document = target.document
+                current.upstream = target.upstream
 
     def detect_lost_members(self) -> None:
         """Record when a member of the domain was lost without a leave."""
@@ -247,7 +250,7 @@
             self.nursery.start_soon(self.hand_over, owned, successor)
 
     def successor_of(self, owned: OwnedUpstream) -> Member | None:
-        """Return the successor of this VM; None if the upstream is gone."""
+        """Return the successor of this VM; None if the upstream was removed."""
         domain = owned.upstream.domain
         document = self.store.services.get(owned.document.service)
         current = document.upstream(owned.upstream.name) if document else None
