--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -320,8 +320,8 @@
         if self.domain_out:
             reason = Reason.DOMAIN_OUT
         failure = RequestFailedError(verdict=Verdict.NOT_RUN, reason=reason)
-        fresh = self.cookies.issue(cookie.flow_id, envelope.caller)
-        self.send_answer(envelope, refusal(failure, cookie=fresh))
+        new_cookie = self.cookies.issue(cookie.flow_id, envelope.caller)
+        self.send_answer(envelope, refusal(failure, cookie=new_cookie))
 
     async def serve_unknown_epoch(
         self,
@@ -361,26 +361,26 @@
                 reason=reason,
                 message='the VM that held its epoch was lost',
             )
-            fresh = self.cookies.issue(cookie.flow_id, envelope.caller)
-            self.send_answer(envelope, refusal(failure, cookie=fresh))
+            new_cookie = self.cookies.issue(cookie.flow_id, envelope.caller)
+            self.send_answer(envelope, refusal(failure, cookie=new_cookie))
 
     async def try_dispatch(self, envelope: Envelope, cookie: Cookie) -> Answer:
         """Dispatch one request; return a refusal if it fails."""
-        fresh = self.cookies.issue(cookie.flow_id, envelope.caller)
+        new_cookie = self.cookies.issue(cookie.flow_id, envelope.caller)
         try:
             answer = await self.dispatch(envelope, cookie)
         except RequestFailedError as failure:
             if failure.reason in NEW_FLOW_REASONS:
-                fresh = b''
+                new_cookie = b''
             if self.domain_out:
                 # The verdict still holds, but a cookie would lead back here.
-                fresh = b''
+                new_cookie = b''
                 failure = RequestFailedError(
                     verdict=failure.verdict,
                     reason=Reason.DOMAIN_OUT,
                 )
-            return refusal(failure, cookie=fresh)
-        return attrs.evolve(answer, cookie=fresh)
+            return refusal(failure, cookie=new_cookie)
+        return attrs.evolve(answer, cookie=new_cookie)
 
     async def dispatch(self, envelope: Envelope, cookie: Cookie) -> Answer:
         """Dispatch a claimed request; raise RequestFailedError if refused."""
