--- a/burdocksill/ownership/local_requests.py
+++ b/burdocksill/ownership/local_requests.py
@@ -34,17 +34,17 @@
 
         Also return False if this VM cannot answer it and has a successor.
         """
-        fresh = self.cookies.issue(cookie.flow_id, envelope.caller)
+        new_cookie = self.cookies.issue(cookie.flow_id, envelope.caller)
         try:
             answer = self.find(envelope, cookie)
         except RequestFailedError as failure:
             if has_successor:
                 return False
-            answer = refusal(failure, cookie=fresh)
+            answer = refusal(failure, cookie=new_cookie)
         if answer is None:
             return False
         self.counters.add('side_requests', service=self.service)
-        self.link.reply(envelope, attrs.evolve(answer, cookie=fresh))
+        self.link.reply(envelope, attrs.evolve(answer, cookie=new_cookie))
         return True
 
     def find(self, envelope: Envelope, cookie: Cookie) -> Answer | None:
