--- a/burdocksill/ownership/unknown_epochs.py
+++ b/burdocksill/ownership/unknown_epochs.py
@@ -32,7 +32,7 @@
         return request.idempotent
 
     def verdict(self) -> Verdict:
-        """Say that nobody here can tell."""
+        """Return "may have run", as this VM cannot know."""
         return Verdict.MAY_HAVE_RUN
 
 
@@ -45,7 +45,7 @@
         return True
 
     def verdict(self) -> Verdict:
-        """Say that nobody here can tell."""
+        """Return "may have run", as this VM cannot know."""
         return Verdict.MAY_HAVE_RUN
 
 
