--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -136,15 +136,15 @@
                 reason=Reason.ANSWER_TOO_LARGE,
                 message='no space for the answer among stored ones',
             )
-        whole = attrs.evolve(answer, etag=self.rng.randbytes(ETAG_BYTES))
+        tagged = attrs.evolve(answer, etag=self.rng.randbytes(ETAG_BYTES))
         key = TransferKey(
-            service=request.service, flow_id=flow_id, tag=whole.etag
+            service=request.service, flow_id=flow_id, tag=tagged.etag
         )
         self.stored[key] = StoredAnswer(
-            answer=whole, used_at=trio.current_time()
+            answer=tagged, used_at=trio.current_time()
         )
         self.used_bytes += size
-        return slice_block(whole, wanted)
+        return slice_block(tagged, wanted)
 
     def later_block(
         self, flow_id: bytes, request: CallerRequest
