--- a/burdocksill/requests/codec.py
+++ b/burdocksill/requests/codec.py
@@ -116,8 +116,8 @@
 def decode_message(payload: bytes) -> Message:
     """Decode one CoAP message; raise MalformedDatagramError."""
     token_bytes = payload[0] & TOKEN_LENGTH_MASK if payload else 0
-    whole = len(payload) >= HEADER_BYTES + token_bytes
-    if token_bytes > MAX_TOKEN_BYTES or not whole:
+    is_complete = len(payload) >= HEADER_BYTES + token_bytes
+    if token_bytes > MAX_TOKEN_BYTES or not is_complete:
         raise MalformedDatagramError(
             message=f'{len(payload)} bytes, token length {token_bytes}',
             hint='a token has at most 8 bytes (RFC 7252, section 3)',
