--- a/burdocksill/flows/placement.py
+++ b/burdocksill/flows/placement.py
@@ -54,7 +54,7 @@
 
     placement: Placement
     load: float
-    # True if a hint reports capacity for new flows.
+    # True if a fresh hint reports capacity for new flows.
     confirmed_capacity: bool
 
 
