--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -196,7 +196,7 @@
             self.drop(key)
 
     def drop_idle(self) -> None:
-        """Drop the answers whose callers have stopped to request blocks."""
+        """Drop the answers whose callers have stopped requesting blocks."""
         oldest = trio.current_time() - IDLE_TIMEOUT_SECONDS
         for key in [
             one
