--- a/tests/steps/requests_proofs.py
+++ b/tests/steps/requests_proofs.py
@@ -15,7 +15,7 @@
 
 
 @when('the request proof "{name}" runs on seeds 1 to {last:d}')
-def run_guarded(context: Context, name: str, last: int) -> None:
+def run_product(context: Context, name: str, last: int) -> None:
     """Run a proof with the components of the product."""
     context.proof = require_proof(name)
     context.proven = [
