--- a/tests/steps/requests_cookies.py
+++ b/tests/steps/requests_cookies.py
@@ -254,8 +254,8 @@
 def check_statement(context: Context) -> None:
     """Compare with the answer of one run of the stand-in."""
     (answer,) = context.answers
-    whole = statement(
+    expected = statement(
         by=f'{SERVICE}-1', run=run_of(answer.payload), size=context.size
     )
-    assert answer.payload == whole.encode()
+    assert answer.payload == expected.encode()
     assert len(context.ran) == 1
