--- a/burdocksill/entry/components.py
+++ b/burdocksill/entry/components.py
@@ -1,4 +1,4 @@
-"""The guards of one node, so that a control run can replace each of them."""
+"""Factories for the components of an entry VM that can be replaced."""
 
 from collections.abc import Callable
 from random import Random
@@ -40,12 +40,12 @@
 from burdocksill.upstreams.protocols import IdentityVerifier, Limiter
 
 
-def pause_fence(members: MemberView) -> Fence:
+def make_fence(members: MemberView) -> Fence:
     """Make the fence of a node."""
     return PauseFence(members=members)
 
 
-def adaptive_limiter(upstream: Upstream, rng: Random) -> Limiter:
+def make_adaptive_limiter(upstream: Upstream, rng: Random) -> Limiter:
     """Make the limiter of an upstream, cold."""
     return make_limiter(
         name=upstream.name,
@@ -56,7 +56,7 @@
 
 
 def make_leaving_rule(store: DocumentStore) -> LeavingRule:
-    """Make what decides whether an upstream leaves."""
+    """Make the rule that decides whether an upstream is leaving."""
     return AnySourceRule(store=store)
 
 
@@ -66,7 +66,7 @@
     rng: Random,
     hints: HintTable,
 ) -> Placer:
-    """Make what chooses the upstream of a new flow."""
+    """Make the placer of new flows."""
     return TwoChoicePlacer(
         members=members,
         store=store,
@@ -75,17 +75,17 @@
     )
 
 
-def tagged_answers(rng: Random) -> AnswerStore:
-    """Make the keeper of answers that are larger than a block."""
+def make_answer_store(rng: Random) -> AnswerStore:
+    """Make the store of answers that are larger than a block."""
     return EtagAnswerStore(rng=rng)
 
 
 @attrs.frozen(kw_only=True)
 class Components:
-    """Hold what stands between a fault and a broken promise.
+    """Hold the factories of components that protect a guarantee.
 
-    The lab's control runs put a naive baseline in the place of one guard and
-    must then see the violation that the guard prevents.
+    A control run of the lab replaces one component by a baseline without its
+    protection, and must then detect the violation that it prevents.
     """
 
     window: Callable[[], RequestWindow] = TokenWindow
@@ -97,16 +97,16 @@
     )
     successor_policy: Callable[[], SuccessorPolicy] = RendezvousSuccessorPolicy
     shutdown_policy: Callable[[], ShutdownPolicy] = GracefulShutdown
-    fence: Callable[[MemberView], Fence] = pause_fence
-    limiter: Callable[[Upstream, Random], Limiter] = adaptive_limiter
+    fence: Callable[[MemberView], Fence] = make_fence
+    limiter: Callable[[Upstream, Random], Limiter] = make_adaptive_limiter
     leaving_rule: Callable[[DocumentStore], LeavingRule] = make_leaving_rule
     retry_budget: Callable[[], RetryBudget] = RatioRetryBudget
     placer: Callable[
         [MemberView, DocumentStore, Random, HintTable],
         Placer,
     ] = make_placer
-    answers: Callable[[Random], AnswerStore] = tagged_answers
+    answers: Callable[[Random], AnswerStore] = make_answer_store
 
     def transfers(self, rng: Random) -> Transfers:
-        """Make what one VM holds of answers and bodies in transfer."""
+        """Make the block-wise transfers of a VM."""
         return Transfers(answers=self.answers(rng))
--- a/burdocksill/entry/main.py
+++ b/burdocksill/entry/main.py
@@ -1,4 +1,4 @@
-"""The program burdocksill-entry: one on each entry VM."""
+"""Program burdocksill-entry, which runs once on each entry VM."""
 
 import logging
 import signal
@@ -42,30 +42,32 @@
     try:
         trio.run(serve, settings)
     except* BurdocksillError as group:
-        for failure in flatten(group):
+        for failure in flatten_errors(group):
             click.echo(str(failure), err=True)
         sys.exit(EXIT_FAILED)
 
 
-def flatten(group: BaseExceptionGroup[BaseException]) -> list[BaseException]:
-    """Return the errors inside nested groups, one for each task that failed."""
+def flatten_errors(
+    group: BaseExceptionGroup[BaseException],
+) -> list[BaseException]:
+    """Return the errors in nested groups, one for each failed task."""
     found: list[BaseException] = []
     for member in group.exceptions:
         if isinstance(member, BaseExceptionGroup):
-            found.extend(flatten(member))
+            found.extend(flatten_errors(member))
         else:
             found.append(member)
     return found
 
 
-async def announce(node: EntryNode) -> None:
-    """Write a line once callers are served."""
+async def log_when_serving(node: EntryNode) -> None:
+    """Write a log line once the node serves callers."""
     await node.serving.wait()
     logger.info('serving', extra={'listen': str(node.settings.listen)})
 
 
 async def serve(settings: Settings) -> None:
-    """Run the node until a signal asks it to stop."""
+    """Run the node until SIGTERM or SIGINT."""
     node = EntryNode(
         settings=settings,
         network=SocketNetwork(),
@@ -80,11 +82,11 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(serve_admin, node)
             nursery.start_soon(node.run)
-            nursery.start_soon(announce, node)
+            nursery.start_soon(log_when_serving, node)
             await anext(signals)
             logger.info('stopping')
             # A VM that still waits for the platform or a peer has nothing to
-            # hand over; without this it would not stop until it had learned.
+            # hand over. Without this check it would stop only after it joined.
             if node.serving.is_set():
                 await node.stop()
             nursery.cancel_scope.cancel()
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -1,4 +1,4 @@
-"""Decide for each caller's datagram which VM serves it."""
+"""Routing of callers' datagrams to the VM that serves them."""
 
 from collections.abc import Awaitable, Callable
 from functools import partial
@@ -9,10 +9,10 @@
 
 from burdocksill.documents.models import ServiceDocument
 from burdocksill.documents.store import DocumentStore
-from burdocksill.entry.containment import Containment
-from burdocksill.entry.detours import Detours
-from burdocksill.entry.domains import LONGEST_PATH, DomainExit
-from burdocksill.entry.refusing import Refuser
+from burdocksill.entry.domains import MAX_PLACEMENT_HOPS, DomainEvacuation
+from burdocksill.entry.error_handling import RequestErrorHandler
+from burdocksill.entry.refusals import RefusalSender
+from burdocksill.entry.rerouting import DelayedRerouting
 from burdocksill.exceptions import BurdocksillError
 from burdocksill.flows.cookie import (
     Cookie,
@@ -47,7 +47,7 @@
 from burdocksill.requests.codec import (
     decode_request,
     encode_answer,
-    encode_short_answer,
+    encode_minimal_answer,
 )
 from burdocksill.requests.exceptions import (
     MalformedDatagramError,
@@ -57,12 +57,13 @@
 from burdocksill.requests.messages import Answer, Envelope
 from burdocksill.requests.verdict import Reason, Verdict
 
-AMPLIFICATION: Final = 3
+# Limit of RFC 7252, section 11.3, for answers to unverified addresses.
+MAX_AMPLIFICATION: Final = 3
 
 
 @attrs.define(kw_only=True)
 class Router:
-    """Serve what this VM owns, relay the rest, keep no state of flows."""
+    """Serve requests of owned upstreams and relay others."""
 
     members: MemberView
     store: DocumentStore
@@ -73,11 +74,11 @@
     socket: DatagramSocket
     clock: WallClock
     unknown_epoch_policy: UnknownEpochPolicy
-    # The answers and bodies in transfer of every upstream owned here.
+    # Block-wise transfers of all upstreams owned by this VM.
     transfers: Transfers
     counters: Counters
     nursery: trio.Nursery
-    detours: Detours = attrs.field(factory=Detours)
+    delayed_rerouting: DelayedRerouting = attrs.field(factory=DelayedRerouting)
     trace_ratio: float = 0
     decisions: DecisionLog = attrs.Factory(
         lambda router: DecisionLog(clock=router.clock),
@@ -90,23 +91,23 @@
         ),
         takes_self=True,
     )
-    exits: DomainExit = attrs.field(init=False)
-    containment: Containment = attrs.field(init=False)
-    refuser: Refuser = attrs.field(init=False)
+    evacuation: DomainEvacuation = attrs.field(init=False)
+    error_handler: RequestErrorHandler = attrs.field(init=False)
+    refusal_sender: RefusalSender = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Prepare what works on this router's own parts."""
-        self.refuser = Refuser(
+        """Create the helpers that use this router."""
+        self.refusal_sender = RefusalSender(
             store=self.store,
             socket=self.socket,
             counters=self.counters,
             reply=self.reply,
         )
-        self.containment = Containment(
+        self.error_handler = RequestErrorHandler(
             counters=self.counters,
             reply=self.reply,
         )
-        self.exits = DomainExit(
+        self.evacuation = DomainEvacuation(
             store=self.store,
             placer=self.placer,
             unknown_epoch_policy=self.unknown_epoch_policy,
@@ -118,15 +119,15 @@
         """Receive callers' datagrams until cancelled."""
         while True:
             for datagram in await self.socket.receive():
-                self.take_datagram(datagram)
+                self.handle_datagram(datagram)
 
-    def take_datagram(self, datagram: Datagram) -> None:
-        """Read one datagram from a caller and route it."""
+    def handle_datagram(self, datagram: Datagram) -> None:
+        """Decode and route one datagram of a caller."""
         self.counters.add('caller_datagrams')
         try:
             request = decode_request(datagram.payload)
         except (MalformedDatagramError, UnsupportedRequestError) as error:
-            self.refuser.refuse_datagram(datagram, error)
+            self.refusal_sender.refuse_datagram(datagram, error)
             return
         envelope = Envelope(
             request=request,
@@ -137,8 +138,8 @@
         with self.tracing.first_hop('entry'):
             self.route(envelope)
 
-    def take_relayed(self, opened: VerifiedMessage, peer: Address) -> None:
-        """Serve a request that another VM relayed because we own it."""
+    def handle_relayed(self, opened: VerifiedMessage, peer: Address) -> None:
+        """Serve or route a request that another VM relayed."""
         message = opened.message
         if not isinstance(message, RelayRequest):
             return
@@ -157,21 +158,21 @@
         )
         with self.tracing.next_hop('relayed', message.traceparent):
             if message.upstream:
-                self.enter(envelope, message.upstream)
+                self.accept_flow(envelope, message.upstream)
             else:
                 self.route(envelope)
 
     def route(self, envelope: Envelope) -> None:
-        """Route a request; every failure is answered at once."""
+        """Route a request and answer at once if that fails."""
         try:
-            self.route_checked(envelope)
+            self.route_or_raise(envelope)
         except RequestFailedError as failure:
-            self.refuser.refuse(envelope, failure)
+            self.refusal_sender.refuse(envelope, failure)
         except BurdocksillError:
             self.counters.add('unroutable')
 
-    def route_checked(self, envelope: Envelope) -> None:
-        """Route a request by its cookie, or place it."""
+    def route_or_raise(self, envelope: Envelope) -> None:
+        """Route a request by its cookie, or place a new flow."""
         service = envelope.request.service
         document = self.store.services.get(service)
         if document is None:
@@ -184,7 +185,7 @@
         if cookie is None:
             self.place(envelope, document)
         else:
-            self.follow(verify(envelope, cookie), cookie)
+            self.route_by_cookie(mark_verified(envelope, cookie), cookie)
 
     def place(
         self,
@@ -193,24 +194,26 @@
         *,
         exclude: frozenset[str] = NO_EXCLUSIONS,
     ) -> None:
-        """Choose an upstream for a new flow and go to its owner."""
+        """Choose an upstream for a new flow and forward it to the owner."""
         placement = self.placer.place(document, exclude=exclude)
         if placement is None:
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
                 reason=Reason.NO_UPSTREAM,
             )
-        self.go(envelope, placement)
+        self.forward_to_owner(envelope, placement)
 
-    def go(self, envelope: Envelope, placement: Placement) -> None:
-        """Open a flow where it was placed."""
+    def forward_to_owner(
+        self, envelope: Envelope, placement: Placement
+    ) -> None:
+        """Open a flow at the owner of the chosen upstream."""
         self.decisions.placed(
             envelope,
             placement.upstream.name,
             placement.owner,
         )
         if placement.owner.tag == self.members.local_member.tag:
-            self.enter(envelope, placement.upstream.name)
+            self.accept_flow(envelope, placement.upstream.name)
             return
         self.relay(
             envelope,
@@ -218,19 +221,19 @@
             upstream=placement.upstream.name,
         )
 
-    def move(
+    def reroute(
         self,
         envelope: Envelope,
         upstream: str,
         max_load: float = NO_LOAD_LIMIT,
     ) -> bool:
-        """Open a flow at another upstream; return False without one.
+        """Open a flow at another upstream; return False if there is none.
 
-        The hops name the upstreams that were tried, and their number ends a
-        search in which every owner names another.
+        The hops name the upstreams that were tried. Their number is limited,
+        so that the search ends when every owner reroutes the flow.
         """
         document = self.store.services.get(envelope.request.service)
-        if document is None or len(envelope.hops) >= LONGEST_PATH:
+        if document is None or len(envelope.hops) >= MAX_PLACEMENT_HOPS:
             return False
         hops = (*envelope.hops, upstream)
         placement = self.placer.place(
@@ -241,46 +244,56 @@
         if placement is None:
             return False
         moved = attrs.evolve(envelope, hops=hops, refused=True)
-        self.go(moved, placement)
+        self.forward_to_owner(moved, placement)
         return True
 
-    def follow(self, envelope: Envelope, cookie: Cookie) -> None:
-        """Go to whoever holds the cookie's epoch, as far as can be known."""
+    def route_by_cookie(self, envelope: Envelope, cookie: Cookie) -> None:
+        """Route a request to the VM that holds its cookie's epoch, if known."""
         service = envelope.request.service
-        held = self.owners.find(service, cookie.upstream_tag, cookie.epoch)
+        local_upstream = self.owners.find(
+            service, cookie.upstream_tag, cookie.epoch
+        )
         holder = self.members.find(cookie.owner_tag)
-        visits = holder is not None and self.exits.can_visit(holder, envelope)
-        # The heir has the epoch, and the VM of the cookie the kept answers.
-        keeps = visits and asks_later_block(envelope.request)
-        holds = held is not None and held.epochs.find(cookie.epoch) is not None
-        if held is not None and holds and not keeps:
+        reachable = holder is not None and self.evacuation.can_relay(
+            holder, envelope
+        )
+        # After a handover the successor holds the epoch, but the VM named in
+        # the cookie still stores the answers whose blocks are being fetched.
+        stores_answer = reachable and asks_later_block(envelope.request)
+        holds_epoch = (
+            local_upstream is not None
+            and local_upstream.epochs.find(cookie.epoch) is not None
+        )
+        if local_upstream is not None and holds_epoch and not stores_answer:
             self.decisions.followed(envelope, cookie, self.members.local_member)
-            self.spawn(envelope, held.serve, envelope, cookie)
+            self.start_task(envelope, local_upstream.serve, envelope, cookie)
             return
-        if self.exits.left(service, cookie):
-            self.exits.leave(envelope)
+        if self.evacuation.is_evacuated(service, cookie):
+            self.evacuation.place_evacuated(envelope)
             return
-        if holder is not None and visits:
+        if holder is not None and reachable:
             self.decisions.followed(envelope, cookie, holder)
             self.relay(envelope, holder.peer_address)
             return
-        self.follow_to_owner(envelope, cookie)
+        self.route_to_current_owner(envelope, cookie)
 
-    def spawn(
+    def start_task(
         self,
         envelope: Envelope,
         task: Callable[..., Awaitable[None]],
         *arguments: object,
     ) -> None:
-        """Serve a request in a task whose faults stay with the request."""
+        """Start a task for a request; its errors end only that request."""
         self.nursery.start_soon(
-            self.containment.run,
+            self.error_handler.run,
             envelope,
             partial(task, *arguments),
         )
 
-    def follow_to_owner(self, envelope: Envelope, cookie: Cookie) -> None:
-        """Go to the upstream's owner of today: it may be the heir."""
+    def route_to_current_owner(
+        self, envelope: Envelope, cookie: Cookie
+    ) -> None:
+        """Route a request to the upstream's current owner."""
         document = self.store.services[envelope.request.service]
         upstream = document.upstream_by_tag(cookie.upstream_tag)
         owner = self.placer.owner(document.service, upstream)
@@ -288,27 +301,32 @@
             owned = self.owners.find(document.service, cookie.upstream_tag)
             if owned is not None:
                 self.decisions.followed(envelope, cookie, owner)
-                self.spawn(envelope, owned.serve, envelope, cookie)
+                self.start_task(envelope, owned.serve, envelope, cookie)
                 return
-        elif owner is not None and self.exits.can_visit(owner, envelope):
+        elif owner is not None and self.evacuation.can_relay(owner, envelope):
             self.decisions.followed(envelope, cookie, owner)
             self.relay(envelope, owner.peer_address)
             return
-        elif owner is not None and self.detours.allow(envelope):
-            self.spawn(envelope, self.detours.take, envelope, self.route)
+        elif owner is not None and self.delayed_rerouting.is_allowed(envelope):
+            self.start_task(
+                envelope,
+                self.delayed_rerouting.route_later,
+                envelope,
+                self.route,
+            )
             return
-        self.follow_elsewhere(envelope, cookie, document)
+        self.place_after_owner_loss(envelope, cookie, document)
 
-    def follow_elsewhere(
+    def place_after_owner_loss(
         self,
         envelope: Envelope,
         cookie: Cookie,
         document: ServiceDocument,
     ) -> None:
-        """Place a flow anew when nobody owns its upstream any more.
+        """Place a flow again if its upstream has no owner any more.
 
-        Whoever held its epoch may have run the request, so only one that may
-        run twice goes elsewhere.
+        The VM that held its epoch may have run the request, so the policy
+        decides whether it may run at another upstream.
         """
         forgotten = cookie.age(self.clock.now()) is CookieAge.FORGOTTEN
         if forgotten:
@@ -321,51 +339,53 @@
         raise RequestFailedError(
             verdict=self.unknown_epoch_policy.verdict(),
             reason=Reason.OWNER_LOST,
-            message='the owner that knew this request is gone',
+            message='the VM that held its epoch was lost',
         )
 
-    def enter(self, envelope: Envelope, upstream: str) -> None:
-        """Take a flow that was placed at an upstream owned here."""
+    def accept_flow(self, envelope: Envelope, upstream: str) -> None:
+        """Accept a flow placed on an upstream of this VM."""
         service = envelope.request.service
         owned = self.owners.find(service, name_tag(upstream))
         cookie = None if envelope.refused else self.open_cookie(envelope)
         if owned is None:
-            self.pass_to_owner(envelope, upstream, cookie)
+            self.relay_to_owner(envelope, upstream, cookie)
             return
         if cookie is None and owned.ready.is_set():
             owned.open_flow(envelope)
         else:
-            reason = self.exits.reason(service, cookie)
-            checked = verify(envelope, cookie)
-            self.spawn(envelope, owned.enter, checked, cookie, reason)
+            reason = self.evacuation.reason(service, cookie)
+            checked = mark_verified(envelope, cookie)
+            self.start_task(
+                envelope, owned.accept_flow, checked, cookie, reason
+            )
 
-    def pass_to_owner(
+    def relay_to_owner(
         self,
         envelope: Envelope,
         upstream: str,
         cookie: Cookie | None,
     ) -> None:
-        """Pass on a flow whose sender took this VM for the owner.
+        """Relay a flow whose sender mistook this VM for the owner.
 
-        For a moment after a VM joins or leaves, others see other owners.
+        The views of the members differ for a moment after a join or leave.
         """
         document = self.store.services.get(envelope.request.service)
         target = document.upstream(upstream) if document else None
         owner = self.placer.owner(envelope.request.service, target)
-        if owner is not None and self.exits.can_visit(
+        if owner is not None and self.evacuation.can_relay(
             owner,
             envelope,
-            LONGEST_PATH,
+            MAX_PLACEMENT_HOPS,
         ):
             self.relay(envelope, owner.peer_address, upstream=upstream)
             return
         try:
-            self.exits.enter_elsewhere(envelope, upstream, cookie)
+            self.evacuation.place_at_another(envelope, upstream, cookie)
         except RequestFailedError as failure:
-            self.refuser.refuse(envelope, failure)
+            self.refusal_sender.refuse(envelope, failure)
 
     def open_cookie(self, envelope: Envelope) -> Cookie | None:
-        """Return a request's cookie, None when it has none of ours."""
+        """Return a request's cookie, None if it has no valid one."""
         if not envelope.request.cookie:
             return None
         try:
@@ -378,9 +398,9 @@
             return None
 
     def reachable(self, member: Member) -> bool:
-        """Return True for a member that packets can be relayed to."""
-        known = self.members.find(member.tag) is not None
-        return known and not self.store.is_out(member.domain)
+        """Return True if packets can be relayed to a member."""
+        is_member = self.members.find(member.tag) is not None
+        return is_member and not self.store.is_out(member.domain)
 
     def relay(
         self,
@@ -389,7 +409,7 @@
         *,
         upstream: str = '',
     ) -> None:
-        """Pass a datagram on; its caller repeats it when it is lost."""
+        """Relay a datagram; its caller retransmits it if it is lost."""
         self.counters.add('relayed_out')
         message = RelayRequest(
             raw=envelope.raw,
@@ -403,26 +423,26 @@
         self.channel.send(message, peer)
 
     def reply(self, envelope: Envelope, answer: Answer) -> None:
-        """Send an answer straight to the caller.
+        """Send an answer directly to the caller.
 
-        Anybody can write any address into a datagram. Until a cookie came
-        back from there, an answer has at most three times the size of its
-        request (RFC 7252, section 11.3), so that nobody is flooded by us.
+        The source address of a datagram can be spoofed. Until a cookie has
+        come back from an address, an answer has at most 3 times the size of
+        its request (RFC 7252, section 11.3), to prevent amplification attacks.
         """
         self.decisions.answered(envelope, answer)
         encoded = encode_answer(envelope.request, answer)
-        most = AMPLIFICATION * len(envelope.raw)
-        if not envelope.verified and len(encoded) > most:
+        max_bytes = MAX_AMPLIFICATION * len(envelope.raw)
+        if not envelope.verified and len(encoded) > max_bytes:
             self.counters.add('answers_shortened')
-            encoded = encode_short_answer(envelope.request, answer)
-            if len(encoded) > most:
+            encoded = encode_minimal_answer(envelope.request, answer)
+            if len(encoded) > max_bytes:
                 self.counters.add('answers_withheld')
                 return
         self.socket.send(encoded, envelope.caller)
 
 
-def verify(envelope: Envelope, cookie: Cookie | None) -> Envelope:
-    """Mark a request whose cookie was given to the address it comes from."""
+def mark_verified(envelope: Envelope, cookie: Cookie | None) -> Envelope:
+    """Mark a request as verified if its cookie was issued to its address."""
     if cookie is None or cookie.address_tag != address_tag(envelope.caller):
         return envelope
     return attrs.evolve(envelope, verified=True)
--- a/burdocksill/ownership/exchange.py
+++ b/burdocksill/ownership/exchange.py
@@ -1,4 +1,4 @@
-"""Messages of handovers, taken and answered for all upstreams of this VM."""
+"""Handlers of handover messages for all upstreams of this VM."""
 
 import attrs
 import trio
@@ -25,13 +25,13 @@
 from burdocksill.requests.window import RequestKey
 
 
-def key_of(service: str, upstream: str) -> OwnedKey:
-    """Return the key of an upstream that a message names."""
+def owned_key(service: str, upstream: str) -> OwnedKey:
+    """Return the owner table's key of an upstream."""
     return OwnedKey(service=service, upstream_tag=name_tag(upstream))
 
 
-def still_running(tables: tuple[EpochTable, ...]) -> list[bytes]:
-    """Return the requests that the former owner still has in progress."""
+def running_keys(tables: tuple[EpochTable, ...]) -> list[bytes]:
+    """Return the keys of requests in progress at the previous owner."""
     return [
         key
         for table in tables
@@ -42,20 +42,20 @@
 
 @attrs.define(kw_only=True)
 class HandoverExchange:
-    """Answer the messages of handovers on behalf of the owner table."""
+    """Handle handover messages on behalf of the owner table."""
 
     table: OwnerTable
     receivers: dict[bytes, HandoverReceiver] = attrs.field(factory=dict)
 
-    def take_request(self, opened: VerifiedMessage, peer: Address) -> None:
-        """Hand over to the member that says it is the owner now."""
+    def handle_request(self, opened: VerifiedMessage, peer: Address) -> None:
+        """Release an upstream to the member that requests the handover."""
         request = opened.message
         if not isinstance(request, HandoverRequest):
             return
-        key = key_of(request.service, request.upstream)
+        key = owned_key(request.service, request.upstream)
         owned = self.table.owned.get(key)
-        heir = self.table.members.find(opened.sender_tag)
-        if heir is None or self.is_handing_over(key, heir):
+        successor = self.table.members.find(opened.sender_tag)
+        if successor is None or self.is_handing_over(key, successor):
             return
         if owned is None:
             none = HandoverNone(
@@ -63,31 +63,31 @@
                 upstream=request.upstream,
             )
             self.table.peers.send(none, peer)
-        elif key not in self.table.wanted():
+        elif key not in self.table.assigned():
             self.table.release(key)
-        # Where both believe that they own it, this VM keeps silent until
-        # their views of the members agree; the other asks again.
+        # If both VMs consider themselves the owner, this one does not answer
+        # until their membership views agree; the other repeats its request.
 
-    def is_handing_over(self, key: OwnedKey, heir: Member) -> bool:
-        """Return True while a transfer to the heir is under way."""
+    def is_handing_over(self, key: OwnedKey, successor: Member) -> bool:
+        """Return True while a transfer to the successor is in progress."""
         return any(
-            sender.heir.tag == heir.tag
+            sender.successor.tag == successor.tag
             and sender.owned.document.service == key.service
             and name_tag(sender.owned.upstream.name) == key.upstream_tag
             for sender in self.table.senders
         )
 
-    def take_none(self, opened: VerifiedMessage, peer: Address) -> None:
-        """Serve at once: the former owner holds nothing."""
+    def handle_none(self, opened: VerifiedMessage, peer: Address) -> None:
+        """Serve at once, as the previous owner holds no epochs."""
         message = opened.message
         if not isinstance(message, HandoverNone):
             return
         owned = self.table.find(message.service, name_tag(message.upstream))
-        if owned is not None and owned.state is OwnershipState.TAKING:
+        if owned is not None and owned.state is OwnershipState.ACQUIRING:
             self.table.start(owned)
 
-    def take_part(self, opened: VerifiedMessage, peer: Address) -> None:
-        """Gather a part; with the last one its epochs are held here."""
+    def handle_part(self, opened: VerifiedMessage, peer: Address) -> None:
+        """Add and acknowledge a part; the last one completes the transfer."""
         part = opened.message
         if not isinstance(part, HandoverPart):
             return
@@ -95,7 +95,7 @@
         if receiver is None:
             receiver = HandoverReceiver(make_window=self.table.make_window)
             self.receivers[part.transfer] = receiver
-        tables = receiver.take(part)
+        tables = receiver.add_part(part)
         self.table.peers.send(
             HandoverAck(transfer=part.transfer, part=part.part),
             peer,
@@ -108,8 +108,8 @@
         part: HandoverPart,
         tables: tuple[EpochTable, ...],
     ) -> None:
-        """Hold the epochs of a transfer, as owner or as future owner."""
-        key = key_of(part.service, part.upstream)
+        """Add the epochs of a transfer, also before this VM is the owner."""
+        key = owned_key(part.service, part.upstream)
         owned = self.table.owned.get(key)
         if owned is None:
             self.table.inherited.setdefault(key, []).extend(tables)
@@ -117,21 +117,21 @@
         for table in tables:
             owned.epochs.inherit(table)
         owned.admission.resume_from_handover(
-            running=still_running(tables),
+            running=running_keys(tables),
             seconds=owned.document.deadline_seconds,
             limit=part.limit,
             instance=part.instance,
         )
-        if owned.state is OwnershipState.TAKING:
+        if owned.state is OwnershipState.ACQUIRING:
             self.table.start(owned)
-        self.table.nursery.start_soon(self.settle_lost, owned, tables)
+        self.table.nursery.start_soon(self.settle_unanswered, owned, tables)
 
-    async def settle_lost(
+    async def settle_unanswered(
         self,
         owned: OwnedUpstream,
         tables: tuple[EpochTable, ...],
     ) -> None:
-        """Settle inherited requests whose former owner never told the end."""
+        """Settle inherited requests that got no answer in time as lost."""
         await trio.sleep(owned.document.deadline_seconds + 1)
         failure = RequestFailedError(
             verdict=Verdict.MAY_HAVE_RUN,
@@ -140,20 +140,20 @@
         now = trio.current_time()
         for table in tables:
             for key, entry in table.window.entries():
-                if entry.elsewhere and entry.answer is None:
+                if entry.runs_at_previous_owner and entry.answer is None:
                     table.window.settle(key, refusal(failure), now=now)
 
-    def take_ack(self, opened: VerifiedMessage, peer: Address) -> None:
-        """Pass an acknowledgement to its transfer."""
+    def handle_ack(self, opened: VerifiedMessage, peer: Address) -> None:
+        """Pass an acknowledgement to the sender of its transfer."""
         ack = opened.message
         if not isinstance(ack, HandoverAck):
             return
         for sender in self.table.senders:
             if sender.transfer == ack.transfer:
-                sender.take_ack(ack)
+                sender.handle_ack(ack)
 
-    def take_settled(self, opened: VerifiedMessage, peer: Address) -> None:
-        """Remember the answer of a request that ran at the former owner."""
+    def handle_settled(self, opened: VerifiedMessage, peer: Address) -> None:
+        """Store the answer of a request that ran at the previous owner."""
         message = opened.message
         if not isinstance(message, HandoverSettled):
             return
@@ -175,10 +175,12 @@
             peer,
         )
 
-    def take_settled_ack(self, opened: VerifiedMessage, peer: Address) -> None:
-        """Pass the acknowledgement of a late answer to its transfer."""
+    def handle_settled_ack(
+        self, opened: VerifiedMessage, peer: Address
+    ) -> None:
+        """Pass the acknowledgement of an answer to all senders."""
         ack = opened.message
         if not isinstance(ack, HandoverSettledAck):
             return
         for sender in self.table.senders:
-            sender.take_settled_ack(ack.key)
+            sender.handle_settled_ack(ack.key)
--- a/burdocksill/ownership/handover.py
+++ b/burdocksill/ownership/handover.py
@@ -1,8 +1,8 @@
-"""Planned handover of an upstream's epochs from its owner to the heir.
+"""Planned handover of an upstream's epochs from its owner to the successor.
 
-The owner stops dispatching, sends its table to one heir only and never
-dispatches under these epochs again, whether or not it hears the
-acknowledgement. So at any time at most one VM dispatches under an epoch.
+The owner stops dispatching, sends its epochs to exactly one successor and never
+dispatches under them again, whether or not it receives the acknowledgement. So
+at most one VM dispatches under an epoch at any time.
 """
 
 from collections.abc import Callable, Iterator
@@ -32,18 +32,18 @@
 )
 
 TRANSFER_BYTES: Final = 8
-# One part stays below the smallest MTU of the networks between entry VMs.
+# Payload of one part; it fits the smallest MTU between entry VMs.
 PART_BYTES: Final = 1100
 ENTRY_BYTES: Final = 90
 PARTS_IN_FLIGHT: Final = 32
-REPEAT_SECONDS: Final = 0.05
+RESEND_SECONDS: Final = 0.05
 DRAIN_SECONDS: Final = 0.5
-# An heir that acknowledges nothing for this long is given up.
-SILENCE_SECONDS: Final = 2.0
+# A successor that acknowledges nothing for this long is considered lost.
+ACK_TIMEOUT_SECONDS: Final = 2.0
 
 
-def remembered(owned: OwnedUpstream) -> Iterator[HandoverEntry]:
-    """Yield every remembered request of an upstream."""
+def handover_entries(owned: OwnedUpstream) -> Iterator[HandoverEntry]:
+    """Yield an entry for each request stored in the windows."""
     now = trio.current_time()
     for table in owned.epochs.tables.values():
         for key, entry in table.window.entries():
@@ -51,41 +51,43 @@
                 epoch=table.epoch,
                 key=key,
                 digest=entry.digest,
-                expires_in=entry.until - now,
+                expires_in=entry.expires_at - now,
                 answer=entry.answer,
             )
 
 
-def group(entries: Iterator[HandoverEntry]) -> list[tuple[HandoverEntry, ...]]:
-    """Group entries into parts that fit a datagram; at least one part."""
+def group_entries(
+    entries: Iterator[HandoverEntry],
+) -> list[tuple[HandoverEntry, ...]]:
+    """Group entries into parts that fit a datagram; return at least one."""
     groups: list[tuple[HandoverEntry, ...]] = []
-    gathered: list[HandoverEntry] = []
+    current: list[HandoverEntry] = []
     size = 0
     for entry in entries:
         payload = len(entry.answer.payload) if entry.answer else 0
-        length = ENTRY_BYTES + payload
-        if gathered and size + length > PART_BYTES:
-            groups.append(tuple(gathered))
-            gathered = []
+        entry_size = ENTRY_BYTES + payload
+        if current and size + entry_size > PART_BYTES:
+            groups.append(tuple(current))
+            current = []
             size = 0
-        gathered.append(entry)
-        size += length
-    groups.append(tuple(gathered))
+        current.append(entry)
+        size += entry_size
+    groups.append(tuple(current))
     return groups
 
 
 def build_parts(owned: OwnedUpstream, transfer: bytes) -> list[HandoverPart]:
-    """Write an upstream's epochs and remembered requests as parts."""
+    """Encode an upstream's epochs and stored requests as parts."""
     now = trio.current_time()
     epochs = tuple(
         HandoverEpoch(
             epoch=table.epoch,
-            expires_in=(table.until or now + RETENTION_SECONDS) - now,
+            expires_in=(table.expires_at or now + RETENTION_SECONDS) - now,
             sealed=table.sealed,
         )
         for table in owned.epochs.tables.values()
     )
-    groups = group(remembered(owned))
+    groups = group_entries(handover_entries(owned))
     return [
         HandoverPart(
             service=owned.document.service,
@@ -104,52 +106,54 @@
 
 @attrs.define(kw_only=True)
 class HandoverSender:
-    """Send one upstream's table to its heir."""
+    """Send the epochs of one upstream to its successor."""
 
     owned: OwnedUpstream
-    heir: Member
+    successor: Member
     peers: PeerSender
     rng: Random
     transfer: bytes = b''
-    missing: dict[int, HandoverPart] = attrs.field(factory=dict)
+    pending_parts: dict[int, HandoverPart] = attrs.field(factory=dict)
     acknowledged: trio.Event = attrs.field(factory=trio.Event)
-    # Answers that the heir has not acknowledged yet, by request.
-    late: dict[RequestKey, HandoverSettled] = attrs.field(factory=dict)
+    # Answers that the successor has not acknowledged yet, by request.
+    unacknowledged: dict[RequestKey, HandoverSettled] = attrs.field(
+        factory=dict
+    )
 
     async def run(self) -> None:
-        """Send until the heir has everything or is given up."""
+        """Send until the successor has acknowledged all parts or is lost."""
         self.transfer = self.rng.randbytes(TRANSFER_BYTES)
-        self.owned.hand_over_to(self.heir)
+        self.owned.begin_handover(self.successor)
         self.owned.on_settled = self.send_settled
-        # Most requests end at once; what is over before the table leaves
-        # cannot load the upstream together with the heir's requests.
+        # Most requests end within DRAIN_SECONDS. Those that have ended do not
+        # add to the load of the successor's requests on the upstream.
         with trio.move_on_after(DRAIN_SECONDS):
             await self.owned.progress.wait_idle()
         parts = build_parts(self.owned, self.transfer)
-        self.missing = {part.part: part for part in parts}
+        self.pending_parts = {part.part: part for part in parts}
         last_progress = trio.current_time()
-        while self.missing:
-            before = len(self.missing)
+        while self.pending_parts:
+            before = len(self.pending_parts)
             await self.send_round()
-            if len(self.missing) < before:
+            if len(self.pending_parts) < before:
                 last_progress = trio.current_time()
-            if trio.current_time() - last_progress > SILENCE_SECONDS:
+            if trio.current_time() - last_progress > ACK_TIMEOUT_SECONDS:
                 break
-        self.owned.handed_over(acknowledged=not self.missing)
-        await self.finish_late()
+        self.owned.finish_handover(acknowledged=not self.pending_parts)
+        await self.resend_unacknowledged()
 
     async def send_round(self) -> None:
-        """Send the first missing parts and wait for acknowledgements."""
+        """Send the first unacknowledged parts and wait for acknowledgements."""
         self.acknowledged = trio.Event()
-        for part in list(self.missing.values())[:PARTS_IN_FLIGHT]:
-            self.peers.send(part, self.heir.peer_address)
-        with trio.move_on_after(REPEAT_SECONDS):
+        for part in list(self.pending_parts.values())[:PARTS_IN_FLIGHT]:
+            self.peers.send(part, self.successor.peer_address)
+        with trio.move_on_after(RESEND_SECONDS):
             await self.acknowledged.wait()
 
-    def take_ack(self, ack: HandoverAck) -> None:
-        """Note that the heir has a part."""
-        self.missing.pop(ack.part, None)
-        if not self.missing:
+    def handle_ack(self, ack: HandoverAck) -> None:
+        """Record that the successor has received a part."""
+        self.pending_parts.pop(ack.part, None)
+        if not self.pending_parts:
             self.acknowledged.set()
 
     def send_settled(
@@ -158,7 +162,7 @@
         key: RequestKey,
         answer: Answer,
     ) -> None:
-        """Tell the heir what became of a request that was running."""
+        """Send the successor the answer of a request that was in progress."""
         settled = HandoverSettled(
             service=self.owned.document.service,
             upstream=self.owned.upstream.name,
@@ -170,55 +174,55 @@
                 answer=answer,
             ),
         )
-        self.late[key] = settled
-        self.peers.send(settled, self.heir.peer_address)
+        self.unacknowledged[key] = settled
+        self.peers.send(settled, self.successor.peer_address)
 
-    def take_settled_ack(self, key: bytes) -> None:
-        """Note that the heir has an answer."""
-        self.late.pop(RequestKey(key), None)
+    def handle_settled_ack(self, key: bytes) -> None:
+        """Record that the successor has received an answer."""
+        self.unacknowledged.pop(RequestKey(key), None)
 
-    async def finish_late(self) -> None:
-        """Repeat late answers until the heir has them or is given up."""
+    async def resend_unacknowledged(self) -> None:
+        """Resend answers until all are acknowledged or the timeout is over."""
         await self.owned.progress.wait_idle()
-        with trio.move_on_after(SILENCE_SECONDS):
-            while self.late:  # noqa: ASYNC110
-                await trio.sleep(REPEAT_SECONDS)
-                for settled in self.late.values():
-                    self.peers.send(settled, self.heir.peer_address)
+        with trio.move_on_after(ACK_TIMEOUT_SECONDS):
+            while self.unacknowledged:  # noqa: ASYNC110
+                await trio.sleep(RESEND_SECONDS)
+                for settled in self.unacknowledged.values():
+                    self.peers.send(settled, self.successor.peer_address)
 
 
 @attrs.define(kw_only=True)
 class HandoverReceiver:
-    """Gather the parts of one transfer; nothing is held before the last."""
+    """Collect the parts of one transfer; incomplete ones have no effect."""
 
     make_window: Callable[[], RequestWindow]
     parts: dict[int, HandoverPart] = attrs.field(factory=dict)
     complete: bool = False
 
-    def take(self, part: HandoverPart) -> tuple[EpochTable, ...] | None:
-        """Return the epochs once all parts are there, and only then."""
+    def add_part(self, part: HandoverPart) -> tuple[EpochTable, ...] | None:
+        """Add a part; return the epochs when it completes the transfer."""
         if self.complete:
             return None
         self.parts[part.part] = part
         if len(self.parts) < part.parts:
             return None
         self.complete = True
-        tables = self.build(part.epochs)
+        tables = self.build_tables(part.epochs)
         self.parts.clear()
         return tables
 
-    def build(
+    def build_tables(
         self,
         epochs: tuple[HandoverEpoch, ...],
     ) -> tuple[EpochTable, ...]:
-        """Make the tables of the epochs that came over."""
+        """Build the epoch tables from the received parts."""
         now = trio.current_time()
         tables = {
             epoch.epoch: EpochTable(
                 epoch=epoch.epoch,
                 window=self.make_window(),
                 sealed=epoch.sealed,
-                until=now + epoch.expires_in,
+                expires_at=now + epoch.expires_in,
             )
             for epoch in epochs
         }
@@ -227,7 +231,7 @@
                 tables[entry.epoch].window.restore(
                     RequestKey(entry.key),
                     WindowEntry(
-                        until=now + entry.expires_in,
+                        expires_at=now + entry.expires_in,
                         digest=entry.digest,
                         answer=entry.answer,
                     ),
--- a/burdocksill/ownership/progress.py
+++ b/burdocksill/ownership/in_flight.py
@@ -1,4 +1,4 @@
-"""Count the requests in progress, so that a stop can wait for them."""
+"""Counting of requests in progress, so that a shutdown can await them."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -8,24 +8,24 @@
 
 
 @attrs.define(kw_only=True)
-class InProgress:
-    """Count what runs and wake whoever waits for the last to end."""
+class InFlightRequests:
+    """Count requests in progress and wake waiters when none is left."""
 
     running: int = 0
     idle: trio.Event = attrs.field(factory=trio.Event)
 
     @contextmanager
-    def one(self) -> Iterator[None]:
-        """Count one request while the block runs."""
+    def track(self) -> Iterator[None]:
+        """Count one request as in progress while the block runs."""
         self.running += 1
         try:
             yield
         finally:
             self.running -= 1
-            self.note_idle()
+            self.notify_if_idle()
 
-    def note_idle(self) -> None:
-        """Wake the waiting tasks when nothing runs any more."""
+    def notify_if_idle(self) -> None:
+        """Wake the waiting tasks if no request is in progress."""
         if self.running == 0:
             self.idle.set()
             self.idle = trio.Event()
--- a/burdocksill/ownership/side_requests.py
+++ b/burdocksill/ownership/local_requests.py
@@ -1,4 +1,4 @@
-"""Requests that an owner answers by itself: they run nothing."""
+"""Requests that an owner answers itself, without the upstream."""
 
 import attrs
 
@@ -14,11 +14,11 @@
 
 
 @attrs.define(kw_only=True)
-class SideRequests:
-    """Answer for parts of bodies and answers, and for fresh cookies.
+class LocalRequests:
+    """Answer requests for blocks of bodies and answers, and for cookies.
 
-    They need no claim in the at-most-once window, since none of them reaches
-    the upstream.
+    They need no claim in the at-most-once window, since they do not reach the
+    upstream.
     """
 
     service: str
@@ -28,34 +28,34 @@
     link: CallerLink
 
     def answer(
-        self, envelope: Envelope, cookie: Cookie, *, has_heir: bool
+        self, envelope: Envelope, cookie: Cookie, *, has_successor: bool
     ) -> bool:
-        """Answer such a request; return False for any other.
+        """Answer a local request; return False for any other.
 
-        What this VM cannot answer is left to its heir, if there is one.
+        Also return False if this VM cannot answer it and has a successor.
         """
-        fresh = self.cookies.issue(cookie.flow_id, envelope.caller)
+        new_cookie = self.cookies.issue(cookie.flow_id, envelope.caller)
         try:
             answer = self.find(envelope, cookie)
         except RequestFailedError as failure:
-            if has_heir:
+            if has_successor:
                 return False
-            answer = refusal(failure, cookie=fresh)
+            answer = refusal(failure, cookie=new_cookie)
         if answer is None:
             return False
         self.counters.add('side_requests', service=self.service)
-        self.link.reply(envelope, attrs.evolve(answer, cookie=fresh))
+        self.link.reply(envelope, attrs.evolve(answer, cookie=new_cookie))
         return True
 
     def find(self, envelope: Envelope, cookie: Cookie) -> Answer | None:
-        """Return what a request asks for, None when it has to run."""
+        """Return the answer, None if the request has to be dispatched."""
         if envelope.request.path == COOKIE_PATH:
             return Answer(code='VALID', verdict=Verdict.RAN)
-        answer = self.transfers.part(cookie.flow_id, envelope.request)
+        answer = self.transfers.answer_part(cookie.flow_id, envelope.request)
         if answer is None or envelope.verified:
             return answer
         raise RequestFailedError(
             verdict=answer.verdict,
             reason=Reason.ADDRESS_CHANGED,
-            message='go on with the cookie for your new address',
+            message='use the cookie for your new address',
         )
--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -1,4 +1,4 @@
-"""One upstream that this VM owns, and the requests that it dispatches."""
+"""Request handling for an upstream that this VM owns."""
 
 import enum
 from collections.abc import Callable
@@ -22,9 +22,9 @@
 from burdocksill.ownership.cookies import CookieIssuer
 from burdocksill.ownership.epochs import EpochHolder, EpochTable
 from burdocksill.ownership.feeds import FeedTable
-from burdocksill.ownership.progress import InProgress
+from burdocksill.ownership.in_flight import InFlightRequests
+from burdocksill.ownership.local_requests import LocalRequests
 from burdocksill.ownership.protocols import CallerLink, Fence
-from burdocksill.ownership.side_requests import SideRequests
 from burdocksill.ownership.unknown_epochs import UnknownEpochPolicy
 from burdocksill.requests.blocks import Transfers
 from burdocksill.requests.cancellation import Cancellations
@@ -32,7 +32,7 @@
 from burdocksill.requests.exceptions import RequestFailedError
 from burdocksill.requests.feeds import is_feed
 from burdocksill.requests.messages import Answer, Envelope
-from burdocksill.requests.refusals import doubted, refusal
+from burdocksill.requests.refusals import refusal, with_uncertain_verdict
 from burdocksill.requests.verdict import Reason, Verdict
 from burdocksill.requests.window import (
     Claim,
@@ -44,15 +44,15 @@
 from burdocksill.upstreams.admission import Admission
 from burdocksill.upstreams.protocols import UpstreamClient
 
-# A new owner waits this long for what the former one hands over.
-READY_SECONDS: Final = 4.0
-# Requests that wait for the heir's acknowledgement; more are repeated by
-# their callers.
-WAITING_LIMIT: Final = 1000
+# A new owner waits this long for the handover from the previous owner.
+READY_TIMEOUT_SECONDS: Final = 4.0
+# Requests buffered until the successor acknowledges the handover. Further
+# requests are dropped; their callers retransmit them.
+MAX_AWAITING_HANDOVER: Final = 1000
 
-# After these a flow asks for a new place: another VM may own the upstream by
-# now, or the upstream leaves.
-START_AFRESH: Final = frozenset(
+# Refusals that carry no cookie, so that the caller opens a new flow: another
+# VM may own the upstream by now, or the upstream is leaving.
+NEW_FLOW_REASONS: Final = frozenset(
     (Reason.OWNER_FENCED, Reason.UPSTREAM_LEAVING),
 )
 OVERLOADED: Final = refusal(
@@ -61,21 +61,21 @@
 
 
 class OwnershipState(enum.StrEnum):
-    """Name the phases of owning an upstream."""
+    """List the states of an upstream's ownership on this VM."""
 
-    TAKING = 'taking'
+    ACQUIRING = 'taking'
     SERVING = 'serving'
     HANDING_OVER = 'handing-over'
     HANDED_OVER = 'handed-over'
-    # The heir did not acknowledge; it may hold the epochs all the same.
-    HEIR_LOST = 'heir-lost'
-    # Nobody took over: the epochs are sealed and stay here.
+    # The successor did not acknowledge the handover, but may hold the epochs.
+    SUCCESSOR_LOST = 'heir-lost'
+    # There is no successor: the epochs are sealed and stay on this VM.
     RETIRED = 'retired'
 
 
-def make_side_requests(owned: 'OwnedUpstream') -> SideRequests:
-    """Make what answers the requests that run nothing."""
-    return SideRequests(
+def make_local_requests(owned: 'OwnedUpstream') -> LocalRequests:
+    """Create the handler of requests that are not dispatched."""
+    return LocalRequests(
         service=owned.document.service,
         transfers=owned.transfers,
         cookies=owned.cookies,
@@ -85,7 +85,7 @@
 
 
 def make_feeds(owned: 'OwnedUpstream') -> FeedTable:
-    """Make the table of an upstream's feeds, one connection's worth."""
+    """Create the feed table; its limit is the number of connections."""
     return FeedTable(
         service=owned.document.service,
         upstream=owned.upstream.name,
@@ -95,13 +95,13 @@
         clock=owned.clock,
         counters=owned.counters,
         link=owned.link,
-        leaving=lambda: owned.admission.leaving(owned.upstream),
+        is_leaving=lambda: owned.admission.leaving(owned.upstream),
     )
 
 
 @attrs.define(kw_only=True)
 class OwnedUpstream:
-    """Hold an upstream's epochs and everything that is counted for it."""
+    """Dispatch the requests of one owned upstream at most once each."""
 
     document: ServiceDocument
     upstream: Upstream
@@ -118,73 +118,75 @@
     counters: Counters
     link: CallerLink
     scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
-    state: OwnershipState = OwnershipState.TAKING
+    state: OwnershipState = OwnershipState.ACQUIRING
     ready: trio.Event = attrs.field(factory=trio.Event)
-    heir: Member | None = None
-    # Operators took the failure domain out.
-    given_up: bool = False
-    waiting: list[Envelope] = attrs.field(factory=list)
+    successor: Member | None = None
+    # Operators took the failure domain out of service.
+    domain_out: bool = False
+    awaiting_handover: list[Envelope] = attrs.field(factory=list)
     cancellations: Cancellations = attrs.field(factory=Cancellations)
-    progress: InProgress = attrs.field(factory=InProgress)
-    # Called with epoch, key and answer of each request that ends here.
+    progress: InFlightRequests = attrs.field(factory=InFlightRequests)
+    # Called with the epoch, key and final answer of each dispatched request.
     on_settled: Callable[[bytes, RequestKey, Answer], None] | None = None
     feeds: FeedTable = attrs.field(
         default=attrs.Factory(make_feeds, takes_self=True),
     )
-    side: SideRequests = attrs.field(
-        default=attrs.Factory(make_side_requests, takes_self=True),
+    local_requests: LocalRequests = attrs.field(
+        default=attrs.Factory(make_local_requests, takes_self=True),
     )
 
     async def run(self) -> None:
-        """Keep the connection until the upstream is released."""
+        """Run the upstream client until the upstream is released."""
         with self.scope:
             await self.client.run()
 
     def start(self) -> None:
-        """Open a fresh epoch and serve."""
+        """Open a new epoch and start to serve."""
         self.epochs.open()
         self.state = OwnershipState.SERVING
         self.ready.set()
 
-    async def enter(
+    async def accept_flow(
         self,
         envelope: Envelope,
         cookie: Cookie | None,
         reason: Reason = Reason.EPOCH_CLOSED,
     ) -> None:
-        """Take a flow that was placed here, new or from a lost owner."""
-        # Almost every request finds the owner ready, and a scope to wait in
-        # costs more than its claim.
+        """Accept a flow placed on this upstream, new or from a lost owner."""
+        # The owner is almost always ready, and a cancel scope costs more than
+        # the claim of a request.
         if not self.ready.is_set():
-            with trio.move_on_after(READY_SECONDS):
+            with trio.move_on_after(READY_TIMEOUT_SECONDS):
                 await self.ready.wait()
         if cookie is None:
             self.open_flow(envelope)
-        elif not self.side.answer(envelope, cookie, has_heir=False):
-            await self.serve_foreign(envelope, cookie, reason)
+        elif not self.local_requests.answer(
+            envelope, cookie, has_successor=False
+        ):
+            await self.serve_unknown_epoch(envelope, cookie, reason)
 
     def open_flow(self, envelope: Envelope) -> None:
-        """Give a new flow its cookie: nothing was dispatched."""
-        if self.heir is not None:
-            self.pass_on(envelope, upstream=self.upstream.name)
+        """Issue the cookie of a new flow without dispatching its request."""
+        if self.successor is not None:
+            self.forward_to_successor(envelope, upstream=self.upstream.name)
             return
         try:
             if self.admission.reroute_new_flow(envelope, self.upstream):
                 return
         except RequestFailedError as failure:
-            self.finish(envelope, refusal(failure))
+            self.send_answer(envelope, refusal(failure))
             return
         flow_id = self.rng.randbytes(FLOW_ID_BYTES)
         self.admission.flows.open(flow_id, trio.current_time())
-        self.offer_cookie(envelope, flow_id, Reason.COOKIE_NEEDED)
+        self.refuse_with_cookie(envelope, flow_id, Reason.COOKIE_NEEDED)
 
-    def offer_cookie(
+    def refuse_with_cookie(
         self,
         envelope: Envelope,
         flow_id: bytes,
         reason: Reason,
     ) -> None:
-        """Ask the caller to send its request with a cookie of this epoch."""
+        """Refuse a request as "not run", with a cookie for sending it again."""
         failure = RequestFailedError(
             verdict=Verdict.NOT_RUN,
             reason=reason,
@@ -192,32 +194,34 @@
         )
         self.counters.add('flows_opened', service=self.document.service)
         cookie = self.cookies.issue(flow_id, envelope.caller)
-        self.finish(envelope, refusal(failure, cookie=cookie))
+        self.send_answer(envelope, refusal(failure, cookie=cookie))
 
     async def serve(self, envelope: Envelope, cookie: Cookie) -> None:
-        """Answer a request whose cookie names this upstream."""
-        # Almost every request finds the owner ready, and a scope to wait in
-        # costs more than its claim.
+        """Serve a request whose cookie names this upstream."""
+        # The owner is almost always ready, and a cancel scope costs more than
+        # the claim of a request.
         if not self.ready.is_set():
-            with trio.move_on_after(READY_SECONDS):
+            with trio.move_on_after(READY_TIMEOUT_SECONDS):
                 await self.ready.wait()
-        if self.side.answer(envelope, cookie, has_heir=bool(self.heir)):
+        if self.local_requests.answer(
+            envelope, cookie, has_successor=bool(self.successor)
+        ):
             return
         table = self.epochs.find(cookie.epoch)
         if table is None:
-            await self.serve_foreign(envelope, cookie)
+            await self.serve_unknown_epoch(envelope, cookie)
         else:
-            await self.serve_held(envelope, cookie, table)
+            await self.serve_held_epoch(envelope, cookie, table)
 
-    async def serve_held(
+    async def serve_held_epoch(
         self,
         envelope: Envelope,
         cookie: Cookie,
         table: EpochTable,
     ) -> None:
-        """Dispatch a request of an epoch held here once, answer every copy."""
+        """Dispatch a request of a held epoch once and answer duplicates."""
         feeds = is_feed(envelope.request) and envelope.verified
-        if feeds and self.heir is None:
+        if feeds and self.successor is None:
             await self.feeds.serve(envelope, cookie)
             return
         key = request_key(cookie.flow_id, envelope.request.token)
@@ -225,10 +229,10 @@
         if claim.state is ClaimState.RUNNING and envelope.request.cancels:
             self.cancellations.cancel(key)
         if claim.state is not ClaimState.FRESH:
-            self.answer_copy(envelope, claim)
+            self.answer_duplicate(envelope, claim)
             return
-        if self.heir is not None:
-            self.pass_on(envelope)
+        if self.successor is not None:
+            self.forward_to_successor(envelope)
             return
         if table.sealed:
             self.refuse_sealed(envelope, cookie)
@@ -241,11 +245,12 @@
                 self.upstream,
             )
         ):
-            # Settled in the same step: no copy can be dispatched any more.
+            # Settled before the next checkpoint, so that no duplicate can be
+            # dispatched.
             self.settle(table, key, OVERLOADED)
             return
         with (
-            self.progress.one(),
+            self.progress.track(),
             self.counters.timed(
                 'request',
                 service=self.document.service,
@@ -254,7 +259,7 @@
         ):
             answer = await self.cancellations.run(
                 key,
-                partial(self.attempt, envelope, cookie),
+                partial(self.try_dispatch, envelope, cookie),
             )
         self.settle(table, key, answer)
         if (
@@ -267,7 +272,7 @@
             )
         ):
             return
-        self.finish(envelope, answer)
+        self.send_answer(envelope, answer)
 
     def claim(
         self,
@@ -275,50 +280,50 @@
         table: EpochTable,
         key: RequestKey,
     ) -> Claim:
-        """Claim a request, or only look at it where nothing is dispatched."""
+        """Claim a request; only look it up if nothing may be dispatched."""
         now = trio.current_time()
-        self.epochs.seal_when_full(now)
+        self.epochs.seal_if_full(now)
         digest = request_digest(envelope.request)
-        if table.sealed or self.heir is not None:
+        if table.sealed or self.successor is not None:
             return table.window.find(key, digest)
         return table.window.claim(key, digest, now=now)
 
     def settle(
         self, table: EpochTable, key: RequestKey, answer: Answer
     ) -> None:
-        """Remember a final answer, also at the heir."""
+        """Store a final answer and send it to the successor, if any."""
         table.window.settle(key, answer, now=trio.current_time())
         if self.on_settled is not None:
             self.on_settled(table.epoch, key, answer)
 
-    def answer_copy(self, envelope: Envelope, claim: Claim) -> None:
-        """Answer a copy of a request as its first one was answered."""
+    def answer_duplicate(self, envelope: Envelope, claim: Claim) -> None:
+        """Answer a duplicate with the stored answer of the first copy."""
         if claim.state is ClaimState.RUNNING:
-            # The answer goes out when the first copy is done.
+            # The first copy is answered when it completes.
             self.counters.add('duplicates_running')
             return
         if claim.answer is not None:
             self.counters.add('duplicates_answered')
-            self.finish(envelope, claim.answer)
+            self.send_answer(envelope, claim.answer)
             return
         failure = RequestFailedError(
             verdict=Verdict.NOT_RUN,
             reason=Reason.TOKEN_REUSED,
-            message='this token stands for another request; use a new one',
+            message='token is in use by another request; use a new one',
         )
-        self.finish(envelope, refusal(failure))
+        self.send_answer(envelope, refusal(failure))
 
     def refuse_sealed(self, envelope: Envelope, cookie: Cookie) -> None:
-        """Say "not run" under an epoch that never dispatches again."""
-        full = self.epochs.current is None and self.epochs.full
+        """Refuse a request of a sealed epoch as "not run"."""
+        full = self.epochs.current is None and self.epochs.is_full
         reason = Reason.WINDOW_FULL if full else Reason.EPOCH_CLOSED
-        if self.given_up:
+        if self.domain_out:
             reason = Reason.DOMAIN_OUT
         failure = RequestFailedError(verdict=Verdict.NOT_RUN, reason=reason)
-        fresh = self.cookies.issue(cookie.flow_id, envelope.caller)
-        self.finish(envelope, refusal(failure, cookie=fresh))
+        new_cookie = self.cookies.issue(cookie.flow_id, envelope.caller)
+        self.send_answer(envelope, refusal(failure, cookie=new_cookie))
 
-    async def serve_foreign(
+    async def serve_unknown_epoch(
         self,
         envelope: Envelope,
         cookie: Cookie,
@@ -326,58 +331,61 @@
     ) -> None:
         """Serve a request of an epoch that this VM does not hold.
 
-        Its holder may have run it, so only a request that may run twice runs
-        here; any other is told so at once, with a cookie for new requests.
+        The VM that holds the epoch may have run the request, so the policy
+        decides whether it runs here. Otherwise it is refused at once, with a
+        cookie for new requests.
         """
-        if self.heir is not None:
-            self.pass_on(envelope)
+        if self.successor is not None:
+            self.forward_to_successor(envelope)
             return
         current = self.epochs.current
         age = cookie.age(self.clock.now())
         if age is CookieAge.FORGOTTEN:
-            self.offer_cookie(envelope, cookie.flow_id, Reason.COOKIE_EXPIRED)
+            self.refuse_with_cookie(
+                envelope, cookie.flow_id, Reason.COOKIE_EXPIRED
+            )
         elif current is not None and self.unknown_epoch_policy.may_run(
             envelope.request
         ):
             self.counters.add('requests_adopted')
-            adopted = attrs.evolve(
+            rebound = attrs.evolve(
                 cookie,
                 epoch=current.epoch,
                 issued=int(self.clock.now()),
             )
-            doubtful = attrs.evolve(envelope, may_have_run_elsewhere=True)
-            await self.serve_held(doubtful, adopted, current)
+            marked = attrs.evolve(envelope, may_have_run_elsewhere=True)
+            await self.serve_held_epoch(marked, rebound, current)
         else:
             failure = RequestFailedError(
                 verdict=self.unknown_epoch_policy.verdict(),
                 reason=reason,
-                message='the owner that knew this request is gone',
+                message='the VM that held its epoch was lost',
             )
-            fresh = self.cookies.issue(cookie.flow_id, envelope.caller)
-            self.finish(envelope, refusal(failure, cookie=fresh))
+            new_cookie = self.cookies.issue(cookie.flow_id, envelope.caller)
+            self.send_answer(envelope, refusal(failure, cookie=new_cookie))
 
-    async def attempt(self, envelope: Envelope, cookie: Cookie) -> Answer:
-        """Dispatch one request, or say why not and when to come back."""
-        fresh = self.cookies.issue(cookie.flow_id, envelope.caller)
+    async def try_dispatch(self, envelope: Envelope, cookie: Cookie) -> Answer:
+        """Dispatch one request; return a refusal if it fails."""
+        new_cookie = self.cookies.issue(cookie.flow_id, envelope.caller)
         try:
             answer = await self.dispatch(envelope, cookie)
         except RequestFailedError as failure:
-            if failure.reason in START_AFRESH:
-                fresh = b''
-            if self.given_up:
-                # The verdict stays as it was proved; the cookie leads here.
-                fresh = b''
+            if failure.reason in NEW_FLOW_REASONS:
+                new_cookie = b''
+            if self.domain_out:
+                # The verdict still holds, but a cookie would lead back here.
+                new_cookie = b''
                 failure = RequestFailedError(
                     verdict=failure.verdict,
                     reason=Reason.DOMAIN_OUT,
                 )
-            return refusal(failure, cookie=fresh)
-        return attrs.evolve(answer, cookie=fresh)
+            return refusal(failure, cookie=new_cookie)
+        return attrs.evolve(answer, cookie=new_cookie)
 
     async def dispatch(self, envelope: Envelope, cookie: Cookie) -> Answer:
-        """Run a claimed request, unless its cookie or this VM forbids it."""
+        """Dispatch a claimed request; raise RequestFailedError if refused."""
         if envelope.request.cancels:
-            # The cancellation has overtaken the request itself.
+            # The cancellation arrived before the request.
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
                 reason=Reason.CANCELLED,
@@ -399,65 +407,69 @@
         answer = await self.dispatcher.dispatch(
             request,
             flow_id=flow_id,
-            longest_seconds=self.document.deadline_seconds,
+            max_seconds=self.document.deadline_seconds,
         )
         return self.transfers.answers.first_block(flow_id, request, answer)
 
-    def pass_on(self, envelope: Envelope, *, upstream: str = '') -> None:
-        """Send a request to the heir, or keep it until the heir can take it."""
-        if self.heir is None:
+    def forward_to_successor(
+        self, envelope: Envelope, *, upstream: str = ''
+    ) -> None:
+        """Relay a request to the successor, or buffer it until the handover."""
+        if self.successor is None:
             return
-        known = self.link.reachable(self.heir)
-        if self.state is OwnershipState.HEIR_LOST or not known:
-            # The lost heir may hold the epochs and may have run the request.
+        is_reachable = self.link.reachable(self.successor)
+        if self.state is OwnershipState.SUCCESSOR_LOST or not is_reachable:
+            # The lost successor may hold the epochs and have run the request.
             failure = RequestFailedError(
                 verdict=self.unknown_epoch_policy.verdict(),
                 reason=Reason.OWNER_LOST,
             )
-            self.finish(envelope, refusal(failure))
+            self.send_answer(envelope, refusal(failure))
         elif self.state is OwnershipState.HANDED_OVER or upstream:
             self.link.relay(
                 envelope,
-                self.heir.peer_address,
+                self.successor.peer_address,
                 upstream=upstream,
             )
-        elif len(self.waiting) < WAITING_LIMIT:
-            self.waiting.append(envelope)
+        elif len(self.awaiting_handover) < MAX_AWAITING_HANDOVER:
+            self.awaiting_handover.append(envelope)
 
-    def hand_over_to(self, heir: Member) -> None:
-        """Dispatch nothing new from here on, whatever becomes of the heir."""
-        self.heir = heir
+    def begin_handover(self, successor: Member) -> None:
+        """Stop dispatching for good, even if the successor is lost."""
+        self.successor = successor
         self.state = OwnershipState.HANDING_OVER
         self.ready.set()
 
-    def handed_over(self, *, acknowledged: bool) -> None:
-        """Let the requests that waited go to the heir."""
+    def finish_handover(self, *, acknowledged: bool) -> None:
+        """Forward buffered requests to the successor, or refuse them."""
         if acknowledged:
             self.state = OwnershipState.HANDED_OVER
         else:
-            self.state = OwnershipState.HEIR_LOST
+            self.state = OwnershipState.SUCCESSOR_LOST
         self.feeds.end_all(Reason.STOPPING, keeps_flow=acknowledged)
-        waiting = self.waiting
-        self.waiting = []
-        for envelope in waiting:
-            self.pass_on(envelope)
+        awaiting_handover = self.awaiting_handover
+        self.awaiting_handover = []
+        for envelope in awaiting_handover:
+            self.forward_to_successor(envelope)
 
     def retire(self) -> None:
-        """Seal every epoch: nobody takes over, and nothing runs any more."""
+        """Seal every epoch when there is no successor."""
         self.epochs.seal_all(trio.current_time())
         self.state = OwnershipState.RETIRED
         self.ready.set()
 
-    def reopen(self) -> None:
-        """Start a fresh epoch once a full window has room again."""
-        sealed = self.epochs.current is None and not self.epochs.full
+    def reopen_epoch(self) -> None:
+        """Open a new epoch once a full window has free capacity again."""
+        sealed = self.epochs.current is None and not self.epochs.is_full
         if self.state is OwnershipState.SERVING and sealed:
             self.epochs.open()
 
-    def finish(self, envelope: Envelope, answer: Answer) -> None:
-        """Count an answer and send it with the hops it took."""
+    def send_answer(self, envelope: Envelope, answer: Answer) -> None:
+        """Count an answer and send it to the caller with its hops."""
         if envelope.may_have_run_elsewhere:
-            answer = doubted(answer, self.unknown_epoch_policy.verdict())
+            answer = with_uncertain_verdict(
+                answer, self.unknown_epoch_policy.verdict()
+            )
         self.counters.add(
             'answers',
             service=self.document.service,
--- a/burdocksill/requests/dispatch.py
+++ b/burdocksill/requests/dispatch.py
@@ -1,4 +1,4 @@
-"""Carry one request to its upstream within its deadline."""
+"""Dispatch of requests to upstreams within a deadline."""
 
 from typing import Protocol
 
@@ -15,21 +15,21 @@
 
 
 class Dispatcher(Protocol):
-    """Run a request that the at-most-once window has let through."""
+    """Dispatch a request that was claimed in the at-most-once window."""
 
     async def dispatch(
         self,
         request: CallerRequest,
         *,
         flow_id: bytes,
-        longest_seconds: float,
+        max_seconds: float,
     ) -> Answer:
         """Return the upstream's answer, or raise RequestFailedError."""
 
 
 @attrs.define(kw_only=True)
 class DeadlineDispatcher:
-    """Take a slot, send the request and give up at its deadline."""
+    """Acquire a slot and send the request; fail at its deadline."""
 
     limiter: Limiter
     client: UpstreamClient
@@ -39,10 +39,10 @@
         request: CallerRequest,
         *,
         flow_id: bytes,
-        longest_seconds: float,
+        max_seconds: float,
     ) -> Answer:
         """Return the upstream's answer, or raise RequestFailedError."""
-        seconds = longest_seconds
+        seconds = max_seconds
         if request.timeout_seconds:
             seconds = min(seconds, request.timeout_seconds)
         deadline = trio.current_time() + seconds
@@ -56,7 +56,7 @@
         flow_id: bytes,
         deadline: float,
     ) -> UpstreamAnswer:
-        """Wait for a slot and exchange the request until its deadline."""
+        """Acquire a slot, send the request and await the answer."""
         async with self.limiter.slot(deadline=deadline):
             try:
                 with trio.fail_at(deadline):
@@ -64,7 +64,7 @@
                         upstream_request(
                             request,
                             flow_id=flow_id,
-                            # The wait for the slot has used some of it.
+                            # The wait for a slot has used part of the time.
                             timeout_seconds=deadline - trio.current_time(),
                         ),
                     )
