--- a/burdocksill/readers/election.py
+++ b/burdocksill/readers/election.py
@@ -1,4 +1,4 @@
-"""Decide when a node offers to read the store for its failure domain."""
+"""Leader election of the node that reads the store for a failure domain."""
 
 import logging
 import math
@@ -12,69 +12,69 @@
 from burdocksill.readers.messages import Reader, ReaderEntry
 from burdocksill.readers.protocols import Directory
 
-# A reader that died is replaced after this at the latest. It is as long as a
-# node needs to be held to its bounds again after a disturbance.
+# Bounds the time until a dead reader is replaced. Bounds on the age of a node's
+# data apply again this long after a disturbance.
 LEASE_SECONDS: Final = 4.0
-# Three renewals may fail before the lease ends.
-KEEP_SECONDS: Final = 1.2
-# After an offer that the store did not answer the next one waits this long, so
-# that a store in trouble is not called more often than a reader calls it.
+# Three renewals may fail before the lease expires.
+RENEW_INTERVAL_SECONDS: Final = 1.2
+# Delay after a campaign that the store did not answer. A failing store is then
+# called no more often than by a reader.
 RETRY_SECONDS: Final = 1.5
-# Nodes that miss a reader offer themselves at random times up to this one, so
-# that most see another's offer before their own.
-SPREAD_SECONDS: Final = 1.0
-# Most offers come late in that time, so that the first is known by then however
-# many nodes there are.
-LATE_EXPONENT: Final = 1 / 3
-# A machine with few cores waits longer, one with as few as this or less the
-# longest: a domain's reader answers all of its nodes, and a quicker one does so
+# Without a reader, nodes campaign after a random delay of up to this, so that
+# most see another candidate's entry before they campaign themselves.
+CAMPAIGN_DELAY_SECONDS: Final = 1.0
+# Skews the delay towards its maximum, so that the first campaign is known
+# before most others start, whatever the number of nodes.
+DELAY_EXPONENT: Final = 1 / 3
+# Between this number of cores and 1, the delay is inversely proportional to
+# them: a reader answers all nodes of its domain, and fast machines do so
 # sooner.
-LEAST_CORES: Final = 0.25
+MIN_CORES: Final = 0.25
 NO_LEASE: Final = 0
-# A node that misses a reader looks for another's offer after this, shortly
-# before it would read the store by itself.
-LOOK_UP_SECONDS: Final = (1.0, 1.4)
+# Delay after which a node without a reader checks the store for the entry of
+# another candidate, shortly before it would read the store itself.
+CHECK_DELAY_SECONDS: Final = (1.0, 1.4)
 
 logger = logging.getLogger(__name__)
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class ReaderElection:
-    """Keep whether this node reads for its domain, and when to try to."""
+    """Hold the lease of a domain's reader and the time of the next campaign."""
 
     local_node: Reader
     domain: str
-    # Processor of this machine, in cores.
+    # CPU capacity of this machine, in cores.
     cores: float
     directory: Directory
     clock: Clock
     rng: Random
     lease: int = NO_LEASE
-    # When the lease was last known to run.
-    kept_at: float = 0
-    # When to offer; 0 while there is a reader.
-    offer_at: float = 0
-    # When to look whether another node has offered meanwhile; 0: not any more.
-    look_at: float = 0
-    # No offer before this time.
+    # Start of the last call that granted or renewed the lease.
+    renewed_at: float = 0
+    # Time of the next campaign; 0 if none is due_at.
+    campaign_at: float = 0
+    # When to check for the entry of another candidate; 0 if already done.
+    check_at: float = 0
+    # No campaign before this time.
     retry_at: float = 0
 
     @property
     def holds_lease(self) -> bool:
-        """Return True while this node is the reader."""
+        """Return True while this node is the domain's reader."""
         return self.lease != NO_LEASE
 
     @property
     def entry(self) -> ReaderEntry:
-        """Return what is known of the domain's reader."""
+        """Return the known registry entry of the domain's reader."""
         vacant = ReaderEntry(domain=self.domain)
         return self.directory.readers.get(self.domain, vacant)
 
-    def is_due(self) -> bool:
-        """Return True when this node should offer itself now.
+    def is_campaign_due(self) -> bool:
+        """Return True when this node should campaign now.
 
-        An entry with its own name is left from its life before, or from a
-        claim whose answer was lost: nobody reads by it.
+        An entry under its own name is left from an earlier process, or from a
+        campaign whose answer was lost: no node reads the store for it.
         """
         if self.holds_lease or self.clock() < self.retry_at:
             return False
@@ -82,55 +82,61 @@
         if reader is not None and reader.name == self.local_node.name:
             return True
         if reader is not None:
-            self.offer_at = 0
+            self.campaign_at = 0
             return False
         now = self.clock()
-        if not self.offer_at:
-            late = self.rng.random() ** LATE_EXPONENT
-            self.offer_at = now + late * self.spread()
-            self.look_at = now + self.rng.uniform(*LOOK_UP_SECONDS)
-        return now >= self.offer_at
-
-    def due_in(self) -> float:
-        """Return the seconds until the offer that is planned, if one is."""
-        if not self.offer_at:
+        if not self.campaign_at:
+            fraction = self.rng.random() ** DELAY_EXPONENT
+            self.campaign_at = now + fraction * self.max_delay()
+            self.check_at = now + self.rng.uniform(*CHECK_DELAY_SECONDS)
+        return now >= self.campaign_at
+
+    def seconds_until_due(self) -> float:
+        """Return the seconds until the next campaign or check, or infinity."""
+        if not self.campaign_at:
             return math.inf
-        planned = max(self.offer_at, self.retry_at)
-        if self.look_at:
-            planned = min(planned, self.look_at)
-        return planned - self.clock()
-
-    def looks(self) -> bool:
-        """Return True, once, when it is time to look for another's offer."""
-        if not self.offer_at or not self.look_at or self.clock() < self.look_at:
+        due_at = max(self.campaign_at, self.retry_at)
+        if self.check_at:
+            due_at = min(due_at, self.check_at)
+        return due_at - self.clock()
+
+    def is_check_due(self) -> bool:
+        """Return True once when the check for another candidate is due."""
+        if (
+            not self.campaign_at
+            or not self.check_at
+            or self.clock() < self.check_at
+        ):
             return False
-        self.look_at = 0
+        self.check_at = 0
         return True
 
-    def spread(self) -> float:
-        """Return the longest time to wait before an offer."""
-        return SPREAD_SECONDS / min(max(self.cores, LEAST_CORES), 1)
+    def max_delay(self) -> float:
+        """Return the maximum delay before a campaign, in seconds."""
+        return CAMPAIGN_DELAY_SECONDS / min(max(self.cores, MIN_CORES), 1)
 
-    def yields_to(self, entry: ReaderEntry, known_revision: int) -> bool:
-        """Return True when an entry shows a reader that this node has missed.
+    def adopt_reader(self, entry: ReaderEntry, known_revision: int) -> bool:
+        """Adopt a reader from a newer entry; return True if there is one.
 
-        One of a revision that is known already is there no more.
+        An entry of a revision that is already known has since been removed.
         """
-        other = entry.reader
-        if other is None or other.name == self.local_node.name:
+        elected = entry.reader
+        if elected is None or elected.name == self.local_node.name:
             return False
         if entry.revision <= known_revision:
             return False
-        self.offer_at = 0
+        self.campaign_at = 0
         self.directory.apply_reader(entry)
         return True
 
-    def settle(self, result: SwapResult, lease: int, began: float) -> None:
-        """Take note of how an offer ended."""
-        self.offer_at = 0
+    def record_campaign(
+        self, result: SwapResult, lease: int, started_at: float
+    ) -> None:
+        """Record the result of a campaign."""
+        self.campaign_at = 0
         if result.accepted:
             self.lease = lease
-            self.kept_at = began
+            self.renewed_at = started_at
             logger.info('reads for its domain', extra={'domain': self.domain})
         else:
             logger.info(
@@ -138,26 +144,26 @@
                 extra={'domain': self.domain, 'revision': result.revision},
             )
 
-    def renewed(self, began: float, *, runs: bool) -> None:
-        """Take note of a renewal that the store has answered."""
-        if runs:
-            self.kept_at = began
+    def record_renewal(self, started_at: float, *, is_alive: bool) -> None:
+        """Record a renewal that the store has answered."""
+        if is_alive:
+            self.renewed_at = started_at
         else:
-            self.lose('the lease has ended')
+            self.drop_lease('the lease has expired')
 
-    def failed(self) -> None:
-        """Take note of a call that the store did not answer."""
+    def record_failure(self) -> None:
+        """Record a call that the store did not answer."""
         self.retry_at = self.clock() + RETRY_SECONDS
 
-    def check(self) -> None:
-        """Stop to be the reader once the lease must have ended."""
-        if self.holds_lease and self.clock() - self.kept_at > LEASE_SECONDS:
-            self.lose('the lease was not renewed in time')
+    def check_expiry(self) -> None:
+        """Drop the lease once it must have expired."""
+        if self.holds_lease and self.clock() - self.renewed_at > LEASE_SECONDS:
+            self.drop_lease('the lease was not renewed in time')
 
-    def lose(self, cause: str) -> None:
-        """Take note that this node reads for nobody else any more."""
+    def drop_lease(self, cause: str) -> None:
+        """Stop reading the store for the domain."""
         self.lease = NO_LEASE
-        self.offer_at = 0
+        self.campaign_at = 0
         logger.info(
             'no longer reads for its domain',
             extra={'domain': self.domain, 'cause': cause},
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -20,8 +20,8 @@
     UpdateRequest,
 )
 from burdocksill.readers.election import (
-    KEEP_SECONDS,
     LEASE_SECONDS,
+    RENEW_INTERVAL_SECONDS,
     ReaderElection,
 )
 from burdocksill.readers.messages import ReaderEntry
@@ -192,7 +192,7 @@
             except BurdocksillError as error:
                 # Nothing is lost: the lease runs on, or nobody holds one and
                 # each node reads the store by itself until the next try.
-                self.election.failed()
+                self.election.record_failure()
                 self.state_logger.log_change(
                     'lease call failed',
                     level=logging.WARNING,
@@ -202,7 +202,7 @@
                 self.state_logger.log_change(
                     'lease calls answered', level=logging.DEBUG
                 )
-            self.election.check()
+            self.election.check_expiry()
             self.subscription.is_reader = self.election.holds_lease
             if began != self.election.holds_lease:
                 # Others ask the new reader at once, and it must be current.
@@ -211,8 +211,8 @@
     def pause(self) -> float:
         """Return the seconds until a lease is renewed or an offer is due."""
         if self.election.holds_lease:
-            return KEEP_SECONDS
-        due_in = self.election.due_in()
+            return RENEW_INTERVAL_SECONDS
+        due_in = self.election.seconds_until_due()
         return min(max(due_in, SHORTEST_SLEEP_SECONDS), LOOK_SECONDS)
 
     async def step(self) -> None:
@@ -221,11 +221,11 @@
             return
         began = self.election.clock()
         if self.election.holds_lease:
-            runs = await self.store.keep_lease_alive(self.election.lease)
-            self.election.renewed(began, runs=runs)
-        elif self.election.is_due():
+            is_alive = await self.store.keep_lease_alive(self.election.lease)
+            self.election.record_renewal(began, is_alive=is_alive)
+        elif self.election.is_campaign_due():
             await self.offer(began)
-        elif self.election.looks():
+        elif self.election.is_check_due():
             await self.is_taken()
 
     async def offer(self, began: float) -> None:
@@ -244,7 +244,7 @@
             expected_revision=expected,
             lease=lease,
         )
-        self.election.settle(result, lease, began)
+        self.election.record_campaign(result, lease, began)
 
     async def is_taken(self) -> bool:
         """Return True when another node has become the reader meanwhile.
@@ -256,7 +256,9 @@
         if stored is None:
             return False
         known_revision = self.subscription.store_cache.revision
-        return self.election.yields_to(self.read_entry(stored), known_revision)
+        return self.election.adopt_reader(
+            self.read_entry(stored), known_revision
+        )
 
     async def leave(self) -> None:
         """Let another node take over at once, as this one stops."""
@@ -265,7 +267,7 @@
             if not self.election.holds_lease:
                 return
             lease = self.election.lease
-            self.election.lose('this node stops')
+            self.election.drop_lease('this node stops')
             self.subscription.is_reader = False
             try:
                 await self.store.revoke_lease(lease)
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -302,8 +302,8 @@
         waits = []
         for seed in range(number):
             election = make_claim(context, cores, seed)
-            election.is_due()
-            waits.append(election.offer_at - context.now)
+            election.is_campaign_due()
+            waits.append(election.campaign_at - context.now)
         context.waits[cores] = waits
 
 
@@ -326,7 +326,7 @@
     """Let an offer succeed."""
     context.election = make_claim(context, 1, context.seed)
     accepted = SwapResult(accepted=True, revision=9, current=None)
-    context.election.settle(accepted, 7, context.now)
+    context.election.record_campaign(accepted, 7, context.now)
     assert context.election.holds_lease
 
 
@@ -334,7 +334,7 @@
 def fail_renewals(context: Context, seconds: float) -> None:
     """Let time pass."""
     context.now += seconds
-    context.election.check()
+    context.election.check_expiry()
 
 
 @then('it does not read for its domain any more')
@@ -357,9 +357,9 @@
     """Let every offer go unanswered."""
     context.offers = 0
     for _ in range(seconds * 2):
-        if context.election.is_due():
+        if context.election.is_campaign_due():
             context.offers += 1
-            context.election.failed()
+            context.election.record_failure()
         context.now += 0.5
 
 
