--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -53,7 +53,7 @@
     async def wait(self) -> None:
         """Return once this node should call."""
         while True:
-            seconds = self.subscription.calls_in()
+            seconds = self.subscription.seconds_until_read()
             if seconds <= 0:
                 return
             self.woken = trio.Event()
@@ -63,7 +63,7 @@
 
     def called(self, *, answered: bool) -> None:
         """Take note of a call that this node has made."""
-        self.subscription.called()
+        self.subscription.record_store_call()
         if answered and self.on_answer is not None:
             self.on_answer()
 
@@ -106,8 +106,8 @@
             case UpdateRequest():
                 self.publisher.answer(message, sender)
             case Update():
-                self.subscription.take(message, sender)
-                if self.subscription.must_read:
+                self.subscription.handle_update(message, sender)
+                if self.subscription.must_read_store:
                     self.read_gate.wake()
             case Offer():
                 self.take_offer(message, sender)
@@ -118,14 +118,14 @@
 
     def take_offer(self, offer: Offer, sender: Address) -> None:
         """Ask a follower for what this reader can't read itself."""
-        if self.subscription.wants(offer):
+        if self.subscription.accepts(offer):
             self.state_logger.log_change('follower asked', follower=str(sender))
-            ask = self.subscription.ask_of(sender)
+            ask = self.subscription.make_request(sender)
             self.socket.send(encode_update_request(ask), sender)
 
     def notify_reader(self) -> None:
         """Tell the own reader what the store has just told this node."""
-        found = self.subscription.offer()
+        found = self.subscription.make_offer()
         if found is not None:
             reader, offer = found
             self.socket.send(encode_offer(offer), reader.address)
@@ -145,14 +145,14 @@
     async def request_updates(self) -> None:
         """Ask readers in time."""
         while True:
-            pause = self.subscription.asks_in()
+            pause = self.subscription.seconds_until_request()
             if pause <= 0 and not self.ask_now():
                 pause = NOBODY_SECONDS
             await trio.sleep(max(pause, SHORTEST_SLEEP_SECONDS))
 
     def ask_now(self) -> bool:
         """Ask whoever is next; False if there is nobody to ask."""
-        asked = self.subscription.next_ask()
+        asked = self.subscription.next_request()
         if asked is None:
             return False
         reader, ask = asked
--- a/burdocksill/readers/subscription.py
+++ b/burdocksill/readers/subscription.py
@@ -1,4 +1,4 @@
-"""Decide whom to ask for changes, and when to read the store instead."""
+"""Subscribe to a reader's changes, with the store as the fallback."""
 
 import logging
 from collections import OrderedDict
@@ -14,33 +14,35 @@
 from burdocksill.readers.messages import Reader
 from burdocksill.readers.protocols import Directory, StoreCache
 
-# A reader's own knowledge is younger than this, so an ask at this age finds it
-# fresh.
-ASK_AGE_SECONDS: Final = 1.6
-# Changes are told unasked as long as the node has asked lately.
-RENEW_SECONDS: Final = 2.0
-# An unanswered ask is repeated after this, at another reader in turn: many
-# times the way there and back. Three are lost before the store is read.
-REPEAT_SECONDS: Final = 0.1
-# Older knowledge makes a node read the store by itself, while there is time for
-# a slow call before a change must be in force.
-OLD_SECONDS: Final = 2.0
-# While the own reader answers but is out of touch itself, so many of its nodes
-# a second read the store in its place; one that succeeds tells it.
-CALLS_PER_SECOND: Final = 8.0
-# A reader that answered an ask so lately is alive.
-HEARD_SECONDS: Final = 1.0
-# While neither a reader nor the store helps, asks are repeated this slowly.
-SLOW_REPEAT_SECONDS: Final = 0.5
-TOKENS_KEPT: Final = 64
+# A node requests updates once its data is this old. A reader's own data is
+# younger, so its answer makes the node current again.
+REQUEST_AGE_SECONDS: Final = 1.6
+# Interval of requests that keep the subscription to pushed changes.
+RESUBSCRIBE_SECONDS: Final = 2.0
+# An unanswered request is repeated after this, alternately to another reader.
+# It is many round-trip times. Three requests are lost before the node reads the
+# store itself.
+RETRY_SECONDS: Final = 0.1
+# A node with older data reads the store itself, which leaves time for a slow
+# call before a change must be in force.
+MAX_AGE_SECONDS: Final = 2.0
+# Rate at which a reader's followers read the store in its place while it
+# answers them but does not reach the store. One that succeeds offers it the
+# result.
+FALLBACK_READS_PER_SECOND: Final = 8.0
+# A reader that answered a request within this time counts as alive.
+READER_TIMEOUT_SECONDS: Final = 1.0
+# Retry interval while neither a reader nor the store answers.
+SLOW_RETRY_SECONDS: Final = 0.5
+MAX_PENDING_REQUESTS: Final = 64
 TOKEN_BITS: Final = 64
 
 logger = logging.getLogger(__name__)
 
 
 @attrs.frozen
-class Asked:
-    """Hold an ask that may still be answered."""
+class PendingRequest:
+    """Hold the target and time of a request that may still be answered."""
 
     address: Address
     at: float
@@ -48,7 +50,7 @@
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class Subscription:
-    """Follow the readers of the failure domains, the own one first."""
+    """Request updates from the own domain's reader, or from others."""
 
     name: str
     domain: str
@@ -56,70 +58,72 @@
     store_cache: StoreCache
     clock: Clock
     rng: Random
-    # True while this node itself reads the store for its domain.
+    # True while this node is its domain's reader.
     is_reader: bool = False
-    # The latest revision of which a reader said that its changes are more than
-    # a datagram holds.
-    left_to_store: int = 0
-    # True when an update showed that another one was lost.
-    behind: bool = False
-    asked_at: float = float('-inf')
-    # Asks since the last good answer.
-    tries: int = 0
-    # When the own domain's reader last answered, and how many nodes ask it.
-    heard_at: float = float('-inf')
+    # Newest revision that a reader could not send, as its changes exceed a
+    # datagram.
+    oversized_revision: int = 0
+    # True after an update that does not continue at the known revision.
+    has_gap: bool = False
+    requested_at: float = float('-inf')
+    # Requests since the last answer with current data.
+    attempts: int = 0
+    # When the own domain's reader last answered, and its number of followers.
+    reader_answered_at: float = float('-inf')
     followers: int = 0
-    # When it is this node's turn to read the store for them; 0: not drawn.
-    turn_at: float = 0
-    asked: OrderedDict[int, Asked] = attrs.field(factory=OrderedDict)
+    # When this node reads the store in its reader's place; 0: not drawn yet.
+    fallback_at: float = 0
+    pending_requests: OrderedDict[int, PendingRequest] = attrs.field(
+        factory=OrderedDict
+    )
 
     @property
-    def must_read(self) -> bool:
-        """Return True while changes are known that only the store tells."""
-        return self.left_to_store > self.store_cache.revision
+    def must_read_store(self) -> bool:
+        """Return True while changes are known that only the store can send."""
+        return self.oversized_revision > self.store_cache.revision
 
     @property
-    def must_call(self) -> bool:
+    def should_read_store(self) -> bool:
         """Return True when this node should read the store itself."""
-        return self.calls_in() <= 0
+        return self.seconds_until_read() <= 0
 
-    def calls_in(self) -> float:
-        """Return the seconds until that may be so, 0 if it is."""
-        if self.is_reader or self.must_read:
+    def seconds_until_read(self) -> float:
+        """Return the seconds until this node may have to read the store."""
+        if self.is_reader or self.must_read_store:
             return 0
         age = self.store_cache.age()
-        if age <= OLD_SECONDS:
-            self.turn_at = 0
-            return OLD_SECONDS - age
-        return self.turn_in()
+        if age <= MAX_AGE_SECONDS:
+            self.fallback_at = 0
+            return MAX_AGE_SECONDS - age
+        return self.seconds_until_fallback()
 
     @property
-    def hears_reader(self) -> bool:
-        """Return True while the own domain's reader answers asks."""
-        return self.clock() - self.heard_at <= HEARD_SECONDS
+    def is_reader_alive(self) -> bool:
+        """Return True while the own domain's reader answers requests."""
+        return self.clock() - self.reader_answered_at <= READER_TIMEOUT_SECONDS
 
-    def turn_in(self) -> float:
+    def seconds_until_fallback(self) -> float:
         """Return the seconds until this node reads in its reader's place.
 
-        A store in trouble would be called by all nodes at once, again and
-        again, and each of them would learn no more than the first.
+        Without the random delay all nodes would call a failing store at once
+        and repeatedly, and each would learn no more than the first.
         """
-        if not self.hears_reader:
+        if not self.is_reader_alive:
             return 0
-        if not self.turn_at:
-            longest = self.followers / CALLS_PER_SECOND
-            self.turn_at = self.clock() + self.rng.uniform(0, longest)
-        return max(0, self.turn_at - self.clock())
+        if not self.fallback_at:
+            longest = self.followers / FALLBACK_READS_PER_SECOND
+            self.fallback_at = self.clock() + self.rng.uniform(0, longest)
+        return max(0, self.fallback_at - self.clock())
 
-    def called(self) -> None:
-        """Take note of a call, after which it is the turn of others."""
-        self.turn_at = 0
+    def record_store_call(self) -> None:
+        """Record a store call; the next one needs a new random delay."""
+        self.fallback_at = 0
 
-    def offer(self) -> tuple[Reader, Offer] | None:
-        """Return what to tell the own reader after a call that succeeded."""
+    def make_offer(self) -> tuple[Reader, Offer] | None:
+        """Return an offer to the own reader after a successful store call."""
         entry = self.directory.readers.get(self.domain)
         reader = None if entry is None else entry.reader
-        if self.is_reader or reader is None or not self.hears_reader:
+        if self.is_reader or reader is None or not self.is_reader_alive:
             return None
         offer = Offer(
             revision=self.store_cache.revision,
@@ -127,52 +131,54 @@
         )
         return reader, offer
 
-    def wants(self, offer: Offer) -> bool:
-        """Return True when a follower knows what this reader can't read."""
+    def accepts(self, offer: Offer) -> bool:
+        """Return True if an offer is newer than this reader's outdated data."""
         age = self.store_cache.age()
-        return self.is_reader and age > OLD_SECONDS and offer.age < age
+        return self.is_reader and age > MAX_AGE_SECONDS and offer.age < age
 
-    def asks_in(self) -> float:
-        """Return the seconds until another node should be asked."""
-        since = self.clock() - self.asked_at
-        if self.behind:
+    def seconds_until_request(self) -> float:
+        """Return the seconds until the next update request."""
+        since = self.clock() - self.requested_at
+        if self.has_gap:
             return 0
         age = self.store_cache.age()
-        if self.is_reader and age < OLD_SECONDS:
-            # The store tells; others are asked only when it can't be reached.
-            return OLD_SECONDS - age
-        if age >= ASK_AGE_SECONDS:
-            gap = SLOW_REPEAT_SECONDS if age > OLD_SECONDS else REPEAT_SECONDS
+        if self.is_reader and age < MAX_AGE_SECONDS:
+            # A reader asks others only while it does not reach the store.
+            return MAX_AGE_SECONDS - age
+        if age >= REQUEST_AGE_SECONDS:
+            gap = SLOW_RETRY_SECONDS if age > MAX_AGE_SECONDS else RETRY_SECONDS
             return max(0, gap - since)
-        return max(0, min(ASK_AGE_SECONDS - age, RENEW_SECONDS - since))
+        return max(
+            0, min(REQUEST_AGE_SECONDS - age, RESUBSCRIBE_SECONDS - since)
+        )
 
-    def next_ask(self) -> tuple[Reader, UpdateRequest] | None:
-        """Return whom to ask what now, None if nobody can be asked."""
-        reader = self.choose()
+    def next_request(self) -> tuple[Reader, UpdateRequest] | None:
+        """Return a reader and a request for it, None without a known reader."""
+        reader = self.choose_reader()
         if reader is None or not self.store_cache.revision:
             return None
-        return reader, self.ask_of(reader.address)
+        return reader, self.make_request(reader.address)
 
-    def ask_of(self, address: Address) -> UpdateRequest:
-        """Return an ask that a node may answer."""
+    def make_request(self, address: Address) -> UpdateRequest:
+        """Return a new request to an address and remember its token."""
         now = self.clock()
-        ask = UpdateRequest(
+        request = UpdateRequest(
             token=self.rng.getrandbits(TOKEN_BITS),
             revision=self.store_cache.revision,
         )
-        self.asked[ask.token] = Asked(address, now)
-        if len(self.asked) > TOKENS_KEPT:
-            self.asked.popitem(last=False)
-        self.asked_at = now
-        self.behind = False
-        self.tries += 1
-        return ask
-
-    def choose(self) -> Reader | None:
-        """Return the own domain's reader, and others in turn if it is silent.
-
-        A cut between the domains leaves each with its own; a reader that is
-        stopped or frozen is not waited for.
+        self.pending_requests[request.token] = PendingRequest(address, now)
+        if len(self.pending_requests) > MAX_PENDING_REQUESTS:
+            self.pending_requests.popitem(last=False)
+        self.requested_at = now
+        self.has_gap = False
+        self.attempts += 1
+        return request
+
+    def choose_reader(self) -> Reader | None:
+        """Return the own domain's reader, every second time another on retries.
+
+        In a partition between domains each keeps its own reader. A reader that
+        is stopped or frozen delays no update.
         """
         own = None
         others: list[Reader] = []
@@ -184,21 +190,21 @@
                 own = reader
             else:
                 others.append(reader)
-        if own is not None and (self.tries % 2 == 0 or not others):
+        if own is not None and (self.attempts % 2 == 0 or not others):
             return own
         return self.rng.choice(others) if others else None
 
-    def take(self, update: Update, sender: Address) -> bool:
-        """Learn from an update; False for one that was not asked for."""
-        asked = self.asked.get(update.token)
-        if asked is None or asked.address != sender:
+    def handle_update(self, update: Update, sender: Address) -> bool:
+        """Apply an update; return False if it was not requested."""
+        pending = self.pending_requests.get(update.token)
+        if pending is None or pending.address != sender:
             return False
-        self.hear(update, sender)
+        self.record_reader_answer(update, sender)
         if update.changes is None:
-            self.leave_to_store(update, sender)
+            self.record_oversized(update, sender)
             return True
         if update.after > self.store_cache.revision:
-            self.behind = True
+            self.has_gap = True
             return True
         found = Snapshot(values=update.changes, revision=update.revision)
         self.store_cache.apply_peer_changes(
@@ -206,22 +212,22 @@
             age=update.age,
             stable=update.stable,
         )
-        if update.age <= ASK_AGE_SECONDS:
-            self.tries = 0
+        if update.age <= REQUEST_AGE_SECONDS:
+            self.attempts = 0
         return True
 
-    def hear(self, update: Update, sender: Address) -> None:
-        """Take note that the own domain's reader is there."""
+    def record_reader_answer(self, update: Update, sender: Address) -> None:
+        """Record an answer of the own domain's reader."""
         entry = self.directory.readers.get(self.domain)
         reader = None if entry is None else entry.reader
         if reader is not None and reader.address == sender:
-            self.heard_at = self.clock()
+            self.reader_answered_at = self.clock()
             self.followers = update.followers
 
-    def leave_to_store(self, update: Update, sender: Address) -> None:
-        """Take note of changes that a reader could not put into a datagram."""
-        self.left_to_store = max(self.left_to_store, update.revision)
-        if self.must_read:
+    def record_oversized(self, update: Update, sender: Address) -> None:
+        """Record changes that exceed a datagram: the store has to be read."""
+        self.oversized_revision = max(self.oversized_revision, update.revision)
+        if self.must_read_store:
             logger.info(
                 'changes left to the store',
                 extra={
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -169,7 +169,7 @@
         rng=Random(context.seed),
     )
     world.timeline.run(2.0)
-    reader, context.ask = context.subscription.next_ask()
+    reader, context.ask = context.subscription.next_request()
     assert reader == READER
     assert context.known.revision == revision
 
@@ -199,7 +199,7 @@
         stable=stable,
         changes=(gone,),
     )
-    context.subscription.take(update, sender)
+    context.subscription.handle_update(update, sender)
 
 
 @when('an update with another token arrives')
@@ -261,8 +261,8 @@
 @then('it asks at once for what came after {revision:d}')
 def check_asks(context: Context, revision: int) -> None:
     """Look at the next ask."""
-    assert context.subscription.asks_in() == 0
-    _, ask = context.subscription.next_ask()
+    assert context.subscription.seconds_until_request() == 0
+    _, ask = context.subscription.next_request()
     assert ask.revision == revision
 
 
