--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -1,4 +1,4 @@
-"""The tasks that talk to other nodes about the store."""
+"""Tasks that exchange store changes with other nodes and elect a reader."""
 
 import logging
 from collections.abc import Callable
@@ -31,64 +31,66 @@
 from burdocksill.readers.subscription import Subscription
 from burdocksill.readers.wire import decode, encode_offer, encode_update_request
 
-# How often a node looks whether its domain lacks a reader.
-LOOK_SECONDS: Final = 0.5
-# How often a node that knows no reader looks for one to ask.
-NOBODY_SECONDS: Final = 0.1
-# Between two looks at the time; trio's timers are later than this at times.
-SHORTEST_SLEEP_SECONDS: Final = 0.02
+# Longest sleep between two checks of what is due.
+POLL_SECONDS: Final = 0.5
+# Interval at which a node without a known reader looks for one.
+NO_READER_POLL_SECONDS: Final = 0.1
+# Shortest sleep between two checks; trio's timers may be later than this.
+MIN_SLEEP_SECONDS: Final = 0.02
 
 logger = logging.getLogger(__name__)
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class SharedReadGate:
-    """Call the store when no reader keeps this node's knowledge new."""
+    """Let this node read the store while no reader keeps its data current."""
 
     subscription: Subscription
-    woken: trio.Event = attrs.field(factory=trio.Event)
+    wake_event: trio.Event = attrs.field(factory=trio.Event)
     # Called after each call that the store answered.
     on_answer: Callable[[], None] | None = None
 
     async def wait(self) -> None:
-        """Return once this node should call."""
+        """Return once this node should read the store."""
         while True:
             seconds = self.subscription.seconds_until_read()
             if seconds <= 0:
                 return
-            self.woken = trio.Event()
-            pause = min(max(seconds, SHORTEST_SLEEP_SECONDS), LOOK_SECONDS)
-            with trio.move_on_after(pause):
-                await self.woken.wait()
+            self.wake_event = trio.Event()
+            seconds_to_sleep = min(
+                max(seconds, MIN_SLEEP_SECONDS), POLL_SECONDS
+            )
+            with trio.move_on_after(seconds_to_sleep):
+                await self.wake_event.wait()
 
     def called(self, *, answered: bool) -> None:
-        """Take note of a call that this node has made."""
+        """Record a store call of this node."""
         self.subscription.record_store_call()
         if answered and self.on_answer is not None:
             self.on_answer()
 
     def wake(self) -> None:
-        """Look again at once whether this node should call."""
-        self.woken.set()
+        """Check at once whether this node should read the store."""
+        self.wake_event.set()
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class PeerExchange:
-    """Ask readers and answer other nodes over one datagram socket."""
+    """Send and answer update requests over one datagram socket."""
 
     socket: DatagramSocket
     subscription: Subscription
     publisher: Publisher
     read_gate: SharedReadGate
     observations: ObservationExchange
-    # Set while there is something to tell of upstreams.
-    news: trio.Event = attrs.field(factory=trio.Event)
+    # Set while there are observations of upstreams to send.
+    observations_ready: trio.Event = attrs.field(factory=trio.Event)
     state_logger: StateLogger = attrs.field(
         factory=lambda: StateLogger(logger=logger)
     )
 
     async def receive(self) -> None:
-        """Handle what other nodes send."""
+        """Handle datagrams of other nodes until cancelled."""
         while True:
             for datagram in await self.socket.receive():
                 message = decode(datagram.payload, self.observations.clock())
@@ -98,9 +100,9 @@
                         extra={'peer': str(datagram.peer)},
                     )
                 else:
-                    self.take(message, datagram.peer)
+                    self.handle(message, datagram.peer)
 
-    def take(self, message: Message, sender: Address) -> None:
+    def handle(self, message: Message, sender: Address) -> None:
         """Handle a message of another node."""
         match message:
             case UpdateRequest():
@@ -110,71 +112,71 @@
                 if self.subscription.must_read_store:
                     self.read_gate.wake()
             case Offer():
-                self.take_offer(message, sender)
+                self.handle_offer(message, sender)
             case Observations():
                 self.observations.take(message.observations, sender)
                 if self.observations.pending:
-                    self.news.set()
+                    self.observations_ready.set()
 
-    def take_offer(self, offer: Offer, sender: Address) -> None:
-        """Ask a follower for what this reader can't read itself."""
+    def handle_offer(self, offer: Offer, sender: Address) -> None:
+        """Request updates from a follower if its data is newer."""
         if self.subscription.accepts(offer):
             self.state_logger.log_change('follower asked', follower=str(sender))
-            ask = self.subscription.make_request(sender)
-            self.socket.send(encode_update_request(ask), sender)
+            request = self.subscription.make_request(sender)
+            self.socket.send(encode_update_request(request), sender)
 
     def notify_reader(self) -> None:
-        """Tell the own reader what the store has just told this node."""
+        """Offer the own reader the data that this node has just read."""
         found = self.subscription.make_offer()
         if found is not None:
             reader, offer = found
             self.socket.send(encode_offer(offer), reader.address)
 
     async def publish_observations(self) -> None:
-        """Tell what openings on upstreams met, as soon as there is any."""
+        """Send observations of upstreams in batches until cancelled."""
         while True:
-            await self.news.wait()
-            self.news = trio.Event()
+            await self.observations_ready.wait()
+            self.observations_ready = trio.Event()
             self.observations.flush()
             await trio.sleep(BATCH_SECONDS)
 
     def schedule_observations(self) -> None:
-        """Let what openings met be told."""
-        self.news.set()
+        """Have observations sent with the next batch."""
+        self.observations_ready.set()
 
     async def request_updates(self) -> None:
-        """Ask readers in time."""
+        """Send update requests when they are due, until cancelled."""
         while True:
-            pause = self.subscription.seconds_until_request()
-            if pause <= 0 and not self.ask_now():
-                pause = NOBODY_SECONDS
-            await trio.sleep(max(pause, SHORTEST_SLEEP_SECONDS))
-
-    def ask_now(self) -> bool:
-        """Ask whoever is next; False if there is nobody to ask."""
-        asked = self.subscription.next_request()
-        if asked is None:
+            seconds_to_sleep = self.subscription.seconds_until_request()
+            if seconds_to_sleep <= 0 and not self.send_request():
+                seconds_to_sleep = NO_READER_POLL_SECONDS
+            await trio.sleep(max(seconds_to_sleep, MIN_SLEEP_SECONDS))
+
+    def send_request(self) -> bool:
+        """Send an update request; return False if no reader is known."""
+        target = self.subscription.next_request()
+        if target is None:
             return False
-        reader, ask = asked
+        reader, request = target
         self.state_logger.log_change('reader asked', reader=reader.name)
-        self.socket.send(encode_update_request(ask), reader.address)
+        self.socket.send(encode_update_request(request), reader.address)
         return True
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class ElectionTask:
-    """Offer this node as its domain's reader, and keep the lease if it is."""
+    """Campaign for the lease of the domain's reader, and renew it."""
 
     election: ReaderElection
-    # The domain's entry in the store, and what this node writes there.
+    # Key of the domain's entry in the store, and the value of this node.
     key: str
     value: bytes
-    # Reads the entry that another node has written there.
+    # Decodes an entry that another node has written there.
     read_entry: Callable[[StoredValue], ReaderEntry]
     store: LeaseStore
     subscription: Subscription
     read_gate: SharedReadGate
-    # The store's client makes one call at a time; a stop may come in between.
+    # The store's client makes one call at a time; leave() may run meanwhile.
     lock: trio.Lock = attrs.field(factory=trio.Lock)
     stopped: bool = False
     state_logger: StateLogger = attrs.field(
@@ -182,16 +184,16 @@
     )
 
     async def run(self) -> None:
-        """Offer and renew until the node stops."""
+        """Campaign and renew the lease until cancelled."""
         while True:
-            await trio.sleep(self.pause())
-            began = self.election.holds_lease
+            await trio.sleep(self.seconds_until_step())
+            held_lease = self.election.holds_lease
             try:
                 async with self.lock:
                     await self.step()
             except BurdocksillError as error:
-                # Nothing is lost: the lease runs on, or nobody holds one and
-                # each node reads the store by itself until the next try.
+                # The lease stays valid, or there is none and each node reads
+                # the store itself until the next attempt.
                 self.election.record_failure()
                 self.state_logger.log_change(
                     'lease call failed',
@@ -204,38 +206,38 @@
                 )
             self.election.check_expiry()
             self.subscription.is_reader = self.election.holds_lease
-            if began != self.election.holds_lease:
-                # Others ask the new reader at once, and it must be current.
+            if held_lease != self.election.holds_lease:
+                # Others request updates of a new reader at once: be current.
                 self.read_gate.wake()
 
-    def pause(self) -> float:
-        """Return the seconds until a lease is renewed or an offer is due."""
+    def seconds_until_step(self) -> float:
+        """Return the seconds until the next renewal, campaign or check."""
         if self.election.holds_lease:
             return RENEW_INTERVAL_SECONDS
         due_in = self.election.seconds_until_due()
-        return min(max(due_in, SHORTEST_SLEEP_SECONDS), LOOK_SECONDS)
+        return min(max(due_in, MIN_SLEEP_SECONDS), POLL_SECONDS)
 
     async def step(self) -> None:
-        """Renew the lease, or offer this node if that is due."""
+        """Renew the lease, or campaign for it if that is due."""
         if self.stopped:
             return
-        began = self.election.clock()
+        started_at = self.election.clock()
         if self.election.holds_lease:
             is_alive = await self.store.keep_lease_alive(self.election.lease)
-            self.election.record_renewal(began, is_alive=is_alive)
+            self.election.record_renewal(started_at, is_alive=is_alive)
         elif self.election.is_campaign_due():
-            await self.offer(began)
+            await self.campaign(started_at)
         elif self.election.is_check_due():
-            await self.is_taken()
+            await self.has_other_reader()
 
-    async def offer(self, began: float) -> None:
-        """Try to become the reader.
+    async def campaign(self, started_at: float) -> None:
+        """Try to become the domain's reader.
 
-        The condition is what was seen before the first call: by the second,
-        another node's entry may have been learned, which must not be replaced.
+        The expected revision is taken before the first call. During the calls
+        another node's entry may arrive, which must not be replaced.
         """
         expected = self.election.entry.revision
-        if await self.is_taken():
+        if await self.has_other_reader():
             return
         lease = await self.store.grant_lease(LEASE_SECONDS)
         result = await self.store.compare_and_swap(
@@ -244,13 +246,13 @@
             expected_revision=expected,
             lease=lease,
         )
-        self.election.record_campaign(result, lease, began)
+        self.election.record_campaign(result, lease, started_at)
 
-    async def is_taken(self) -> bool:
+    async def has_other_reader(self) -> bool:
         """Return True when another node has become the reader meanwhile.
 
-        All nodes of a domain miss a reader at once; without this look each of
-        them would begin a lease to no end.
+        All nodes of a domain notice a missing reader at once. Without this
+        check each of them would request a lease in vain.
         """
         stored = await self.store.read(self.key, stale=True)
         if stored is None:
@@ -261,7 +263,7 @@
         )
 
     async def leave(self) -> None:
-        """Let another node take over at once, as this one stops."""
+        """Revoke the lease, so that another node is elected at once."""
         self.stopped = True
         async with self.lock:
             if not self.election.holds_lease:
@@ -272,5 +274,5 @@
             try:
                 await self.store.revoke_lease(lease)
             except BurdocksillError as error:
-                # The lease ends by itself within its time.
+                # The lease expires by itself.
                 logger.warning('lease not ended', extra={'cause': str(error)})
--- a/burdocksill/readers/subscription.py
+++ b/burdocksill/readers/subscription.py
@@ -63,7 +63,7 @@
     # Newest revision that a reader could not send, as its changes exceed a
     # datagram.
     oversized_revision: int = 0
-    # True after an update that does not continue at the known revision.
+    # True after an update that starts beyond the known revision.
     has_gap: bool = False
     requested_at: float = float('-inf')
     # Requests since the last answer with current data.
