--- a/burdocksill/readers/observations.py
+++ b/burdocksill/readers/observations.py
@@ -1,7 +1,7 @@
-"""Pass on what openings on upstreams met, through the domain's reader.
+"""Exchange observations of upstreams through the domain's reader.
 
-Answers the load of upstreams that die together in a domain of many nodes: each
-node sees a few openings a second, all of them together see enough.
+When many upstreams die together in a domain of many nodes, each node sees only
+a few openings a second. Together the nodes see enough to detect it.
 """
 
 import zlib
@@ -17,23 +17,23 @@
 from burdocksill.readers.publisher import Publisher
 from burdocksill.readers.wire import MAX_OBSERVATIONS, encode_observations
 
-# Signs that come together share a datagram.
+# Observations within this time share datagrams.
 BATCH_SECONDS: Final = 0.04
 # A node is sent at most this many at once. What is left out is observed again,
 # or its flows are placed as without any observations.
-MOST_WAITING: Final = 2 * MAX_OBSERVATIONS
-# A reporter is named by 16 bits, none of which stand for the receiver itself.
-MOST_REPORTERES: Final = (1 << 16) - 1
+MAX_PENDING: Final = 2 * MAX_OBSERVATIONS
+# A reporter is identified by 16 bits; 0 is the local node.
+MAX_REPORTERS: Final = (1 << 16) - 1
 
 
 def reporter_of(address: Address) -> int:
     """Return the number that identifies a node in its observations."""
-    return zlib.crc32(str(address).encode()) % MOST_REPORTERES + 1
+    return zlib.crc32(str(address).encode()) % MAX_REPORTERS + 1
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class ObservationExchange:
-    """Tell the domain's reader what this node saw, or all that it told."""
+    """Send observations to the domain's reader, which relays them to all."""
 
     local_node: Reader
     domain: str
@@ -42,20 +42,20 @@
     publisher: Publisher
     clock: Clock
     send: Sender
-    # What the reader has heard and not passed on yet.
+    # Observations that the reader has received but not relayed yet.
     pending: list[Observation] = attrs.field(factory=list)
     sent: int = 0
     received: int = 0
 
     @property
     def reader(self) -> Reader | None:
-        """Return who reads for the own failure domain."""
+        """Return the reader of the own failure domain."""
         entry = self.directory.readers.get(self.domain)
         return None if entry is None else entry.reader
 
     @property
     def is_reader(self) -> bool:
-        """Return True when this node is the one that passes observations on."""
+        """Return True when this node is its domain's reader."""
         return (
             self.reader is not None and self.reader.name == self.local_node.name
         )
@@ -63,52 +63,52 @@
     def take(
         self, observations: Sequence[Observation], sender: Address
     ) -> None:
-        """Learn from the domain's reader, or as the reader from its nodes."""
+        """Merge observations of the reader, or as the reader of subscribers."""
         self.received += len(observations)
         now = self.clock()
         if self.is_reader:
             if sender in self.publisher.subscribers:
-                self.take_reports(observations, reporter_of(sender), now)
+                self.merge_reports(observations, reporter_of(sender), now)
         elif self.reader is not None and sender == self.reader.address:
             for observation in observations:
                 self.sink.merge(observation, now)
 
-    def take_reports(
+    def merge_reports(
         self,
         observations: Sequence[Observation],
         reporter: int,
         now: float,
     ) -> None:
-        """Learn what one node saw, and keep what is news for the others."""
+        """Merge observations of one node; keep new ones to relay them."""
         for observation in observations:
             report = observation.with_reporter(reporter)
             if self.sink.merge(report, now):
                 self.pending.append(report)
 
     def flush(self) -> None:
-        """Send all that is news to whom it is for."""
-        own = self.sink.pop_unsent()
+        """Send unsent observations to the reader, or as the reader to all."""
+        unsent = self.sink.pop_unsent()
         if self.is_reader:
             reporter = reporter_of(self.local_node.address)
             self.pending.extend(
-                observation.with_reporter(reporter) for observation in own
+                observation.with_reporter(reporter) for observation in unsent
             )
-            self.tell_nodes()
-        elif own and self.reader is not None:
-            self.send_observations(own, self.reader.address)
+            self.relay_pending()
+        elif unsent and self.reader is not None:
+            self.send_observations(unsent, self.reader.address)
 
-    def tell_nodes(self) -> None:
+    def relay_pending(self) -> None:
         """Relay observations to all subscribers but their reporters."""
-        observations = self.pending[-MOST_WAITING:]
+        observations = self.pending[-MAX_PENDING:]
         self.pending = []
-        reporteres = {observation.reporter for observation in observations}
+        reporters = {observation.reporter for observation in observations}
         for address in self.publisher.subscribers:
-            seen_there = reporter_of(address)
-            if seen_there in reporteres:
+            receiver = reporter_of(address)
+            if receiver in reporters:
                 others = [
                     observation
                     for observation in observations
-                    if observation.reporter != seen_there
+                    if observation.reporter != receiver
                 ]
                 self.send_observations(others, address)
             else:
@@ -120,11 +120,13 @@
         """Send observations in as many datagrams as they need."""
         now = self.clock()
         self.sent += len(observations)
-        for part in parts_of(observations[-MOST_WAITING:]):
-            self.send(encode_observations(part, now), address)
+        for batch in split_batches(observations[-MAX_PENDING:]):
+            self.send(encode_observations(batch, now), address)
 
 
-def parts_of(observations: list[Observation]) -> Iterator[list[Observation]]:
-    """Return as many observations at a time as a datagram carries."""
+def split_batches(
+    observations: list[Observation],
+) -> Iterator[list[Observation]]:
+    """Yield observations in groups that fit into a datagram."""
     for start in range(0, len(observations), MAX_OBSERVATIONS):
         yield observations[start : start + MAX_OBSERVATIONS]
