--- a/burdocksill/readers/publisher.py
+++ b/burdocksill/readers/publisher.py
@@ -1,4 +1,4 @@
-"""Tell other nodes what this one knows of the store."""
+"""Answer update requests and push changes to subscribers."""
 
 import logging
 from typing import Final
@@ -13,18 +13,18 @@
 from burdocksill.readers.protocols import Sender, StoreCache
 from burdocksill.readers.wire import encode_changes, encode_update
 
-# Who has asked is told of changes for this long: until the next ask, and a
-# while longer in case that is lost.
-SUBSCRIBED_SECONDS: Final = 4.0
-# Three readers at the most serve the nodes of the largest domain.
-MOST_SUBSCRIBERS: Final = 1024
+# A request subscribes its sender to changes for this long: until the next
+# request, with a margin in case that is lost.
+SUBSCRIPTION_SECONDS: Final = 4.0
+# At most three readers serve the nodes of the largest domain.
+MAX_SUBSCRIBERS: Final = 1024
 
 logger = logging.getLogger(__name__)
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class Subscriber:
-    """Hold what a node that asked knows, and until when to tell it more."""
+    """Hold the token, known revision and expiry of a subscription."""
 
     token: int
     revision: int
@@ -33,7 +33,7 @@
 
 @attrs.define(kw_only=True, eq=False, repr=False)
 class Publisher:
-    """Answer asks, and send changes to whoever has asked lately."""
+    """Answer update requests, and push changes to recent requesters."""
 
     store_cache: StoreCache
     log: ChangeLog
@@ -41,55 +41,55 @@
     send: Sender
     subscribers: dict[Address, Subscriber] = attrs.field(factory=dict)
 
-    def answer(self, ask: UpdateRequest, sender: Address) -> None:
-        """Tell a node what it lacks, and go on telling it for a while."""
+    def answer(self, request: UpdateRequest, sender: Address) -> None:
+        """Send the changes after a revision, and subscribe the requester."""
         now = self.clock()
-        if len(self.subscribers) >= MOST_SUBSCRIBERS:
-            self.forget(now)
+        if len(self.subscribers) >= MAX_SUBSCRIBERS:
+            self.drop_expired(now)
         subscriber = Subscriber(
-            token=ask.token,
-            revision=ask.revision,
-            expires_at=now + SUBSCRIBED_SECONDS,
+            token=request.token,
+            revision=request.revision,
+            expires_at=now + SUBSCRIPTION_SECONDS,
         )
-        self.tell(sender, subscriber, self.pack(ask.revision))
-        if len(self.subscribers) < MOST_SUBSCRIBERS:
+        self.send_update(sender, subscriber, self.encode(request.revision))
+        if len(self.subscribers) < MAX_SUBSCRIBERS:
             self.subscribers[sender] = subscriber
 
     def publish(self, after: int, found: Snapshot) -> None:
-        """Keep changes that were just learned, and pass them on."""
+        """Add new changes to the log and push them to subscribers."""
         self.log.add(after, found)
         if not found.values:
             return
-        self.forget(self.clock())
-        packed: dict[int, bytes | None] = {}
+        self.drop_expired(self.clock())
+        encoded: dict[int, bytes | None] = {}
         for address, subscriber in self.subscribers.items():
-            known = subscriber.revision
-            if known not in packed:
-                packed[known] = self.pack(known)
-            self.tell(address, subscriber, packed[known])
-
-    def forget(self, now: float) -> None:
-        """Drop nodes that have not asked for a while."""
-        ended = [
+            known_revision = subscriber.revision
+            if known_revision not in encoded:
+                encoded[known_revision] = self.encode(known_revision)
+            self.send_update(address, subscriber, encoded[known_revision])
+
+    def drop_expired(self, now: float) -> None:
+        """Drop expired subscriptions."""
+        expired = [
             address
             for address, subscriber in self.subscribers.items()
             if subscriber.expires_at < now
         ]
-        for address in ended:
+        for address in expired:
             del self.subscribers[address]
 
-    def pack(self, revision: int) -> bytes | None:
-        """Pack the changes after a revision, None if they can't be told."""
+    def encode(self, revision: int) -> bytes | None:
+        """Encode the changes after a revision, None if they can't be sent."""
         changes: tuple[StoredValue, ...] | None = self.log.since(revision)
         return None if changes is None else encode_changes(changes)
 
-    def tell(
+    def send_update(
         self,
         address: Address,
         subscriber: Subscriber,
         body: bytes | None,
     ) -> None:
-        """Send an update."""
+        """Send an update to one subscriber."""
         store_cache = self.store_cache
         update = Update(
             token=subscriber.token,
