--- a/burdocksill/readers/changes.py
+++ b/burdocksill/readers/changes.py
@@ -1,4 +1,4 @@
-"""The latest changes of the store, kept for nodes that ask for them."""
+"""Log of the latest store changes, from which requests are answered."""
 
 from collections import OrderedDict
 from typing import Final
@@ -7,9 +7,9 @@
 
 from burdocksill.platform.values import Snapshot, StoredValue
 
-# More than the release of a large service makes in half a minute; who has
-# missed more than these reads the store.
-CHANGES_KEPT: Final = 1024
+# More than the release of a large service makes in half a minute. A node that
+# has missed more reads the store.
+MAX_CHANGES: Final = 1024
 
 
 @attrs.define(kw_only=True, eq=False, repr=False)
@@ -21,7 +21,7 @@
     changes: OrderedDict[str, StoredValue] = attrs.field(factory=OrderedDict)
 
     def add(self, after: int, found: Snapshot) -> None:
-        """Append what changed after a revision; a gap drops what is older."""
+        """Append changes after a revision; a gap drops all older ones."""
         if after > self.end:
             self.changes.clear()
             self.start = after
@@ -30,9 +30,9 @@
                 self.changes[change.key] = change
                 self.changes.move_to_end(change.key)
         self.end = max(self.end, found.revision)
-        while len(self.changes) > CHANGES_KEPT:
+        while len(self.changes) > MAX_CHANGES:
             _, dropped = self.changes.popitem(last=False)
-            # A whole reading is not in the order of revisions.
+            # A full read is not sorted by revision.
             self.start = max(self.start, dropped.revision)
 
     def since(self, revision: int) -> tuple[StoredValue, ...] | None:
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -492,7 +492,7 @@
         for key, revision in shown
     )
     found = Snapshot(values=values, revision=max(first, second, third))
-    with mock.patch.object(changes, 'CHANGES_KEPT', context.kept):
+    with mock.patch.object(changes, 'MAX_CHANGES', context.kept):
         context.log.add(context.log.end, found)
 
 
