--- a/burdocksill/readers/datagrams.py
+++ b/burdocksill/readers/datagrams.py
@@ -1,4 +1,4 @@
-"""What nodes say to each other about the store and about upstreams."""
+"""Messages between nodes about the store and about upstreams."""
 
 import attrs
 
@@ -8,44 +8,44 @@
 
 @attrs.frozen(kw_only=True)
 class UpdateRequest:
-    """Ask a node for what has changed since a revision."""
+    """Request the changes after a revision."""
 
-    # Drawn anew for each ask; every answer to it repeats it.
+    # Random for each request; every update that it leads to repeats it.
     token: int
     revision: int
 
 
 @attrs.frozen(kw_only=True)
 class Update:
-    """Tell what has changed, and how old that is."""
+    """Send changes, and the age of the sender's data."""
 
     token: int
-    # All changes after this revision are told, up to the other one.
+    # The update covers the changes after this one, up to `revision`.
     after: int
     revision: int
-    # Seconds since everything up to `revision` was known to be all.
+    # Seconds since `revision` was known to be the newest.
     age: float
-    # Seconds for which the store has been read without trouble; below 0 while
+    # Seconds for which the store has been read without failure; below 0 while
     # it can't be read.
     stable: float
-    # How many nodes its sender tells of changes.
+    # Number of subscribers of the sender.
     followers: int = 0
-    # None: they are too many for a datagram, or too old to be kept.
+    # None: they exceed a datagram, or are no longer in the log.
     changes: tuple[StoredValue, ...] | None = ()
 
 
 @attrs.frozen(kw_only=True)
 class Offer:
-    """Tell a reader without touch that its follower has read the store."""
+    """Offer the data of a follower to a reader that can't read the store."""
 
     revision: int
-    # Seconds since everything up to `revision` was known to be all.
+    # Seconds since `revision` was known to be the newest.
     age: float
 
 
 @attrs.frozen(kw_only=True)
 class Observations:
-    """Tell which upstreams answered or missed an opening, and who saw it."""
+    """Send which upstreams answered or missed an opening, by reporter."""
 
     observations: tuple[Observation, ...]
 
