--- a/burdocksill/readers/messages.py
+++ b/burdocksill/readers/messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other besides the content of the store."""
+"""Values that nodes exchange besides the content of the store."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 
 class ReaderEntry(Value):
-    """Hold who is registered to read for a failure domain.
+    """Hold the registered reader of a failure domain.
 
-    `reader` is None where nobody is; `revision` is 0 where no entry stands.
+    `reader` is None if there is none; `revision` is 0 if there is no entry.
     """
 
     __slots__ = ('domain', 'reader', 'revision')
@@ -44,9 +44,9 @@
 
 
 class Observation(Value):
-    """Tell whether an upstream answered, and who saw that when.
+    """Tell whether an upstream answered an opening, with reporter and time.
 
-    `at` is the steady time of the node that holds the observation.
+    `at` is monotonic time of the node that stores the observation.
     """
 
     __slots__ = ('answered', 'at', 'echo', 'reporter')
@@ -63,11 +63,11 @@
         self.echo = echo
         self.answered = answered
         self.at = at
-        # Tells the nodes that saw something apart; 0 for this node itself.
+        # Identifies the observing node; 0 for the local node.
         self.reporter = reporter
 
     def with_reporter(self, reporter: int) -> Observation:
-        """Return the same observation under another reporter."""
+        """Return a copy with another reporter."""
         return Observation(
             echo=self.echo,
             answered=self.answered,
