--- a/burdocksill/readers/election.py
+++ b/burdocksill/readers/election.py
@@ -10,7 +10,7 @@
 from burdocksill.network.clock import Clock
 from burdocksill.platform.protocols import SwapResult
 from burdocksill.readers.messages import Reader, ReaderEntry
-from burdocksill.readers.protocols import Directory
+from burdocksill.readers.protocols import ReaderRegistry
 
 # Bounds the time until a dead reader is replaced. Bounds on the age of a node's
 # data apply again this long after a disturbance.
@@ -46,7 +46,7 @@
     domain: str
     # CPU capacity of this machine, in cores.
     cores: float
-    directory: Directory
+    directory: ReaderRegistry
     clock: Clock
     rng: Random
     lease: int = NO_LEASE
--- a/burdocksill/readers/observations.py
+++ b/burdocksill/readers/observations.py
@@ -13,7 +13,11 @@
 from burdocksill.network.addresses import Address
 from burdocksill.network.clock import Clock
 from burdocksill.readers.messages import Observation, Reader
-from burdocksill.readers.protocols import Directory, ObservationSink, Sender
+from burdocksill.readers.protocols import (
+    ObservationSink,
+    ReaderRegistry,
+    Sender,
+)
 from burdocksill.readers.publisher import Publisher
 from burdocksill.readers.wire import MAX_OBSERVATIONS, encode_observations
 
@@ -37,7 +41,7 @@
 
     local_node: Reader
     domain: str
-    directory: Directory
+    directory: ReaderRegistry
     sink: ObservationSink
     publisher: Publisher
     clock: Clock
--- a/burdocksill/readers/protocols.py
+++ b/burdocksill/readers/protocols.py
@@ -1,4 +1,4 @@
-"""What the sharing of the store's content needs of the rest."""
+"""Interfaces that the readers need of other packages."""
 
 from typing import Protocol
 
@@ -9,18 +9,18 @@
 
 
 class StoreCache(Protocol):
-    """Hold what is known of the store, and take in more."""
+    """Hold a local copy of the store, and apply changes to it."""
 
     @property
     def revision(self) -> int:
-        """Return the revision up to which all is known; 0: nothing is."""
+        """Return the revision of the copy; 0 before the first read."""
 
     @property
     def healthy_seconds(self) -> float:
-        """Return for how long the store was fine, below 0 in trouble."""
+        """Return the seconds since the store's last failure, below 0 in one."""
 
     def age(self) -> float:
-        """Return the seconds since the knowledge was known to be current."""
+        """Return the seconds since the copy was known to be current."""
 
     def apply_peer_changes(
         self,
@@ -29,41 +29,41 @@
         age: float,
         stable: float,
     ) -> None:
-        """Put changes that another node has told into force."""
+        """Apply changes that another node has sent."""
 
 
-class Directory(Protocol):
-    """Tell who reads for which failure domain."""
+class ReaderRegistry(Protocol):
+    """Hold the reader of each failure domain."""
 
     @property
     def readers(self) -> dict[str, ReaderEntry]:
         """Return the entries by failure domain."""
 
     def apply_reader(self, entry: ReaderEntry) -> None:
-        """Take note of who reads for a failure domain."""
+        """Set the entry of a failure domain."""
 
 
 class ObservationSink(Protocol):
-    """Hold what openings on upstreams met."""
+    """Collect observations of openings on upstreams."""
 
     def pop_unsent(self) -> list[Observation]:
-        """Return the own observations that nobody was told of yet."""
+        """Return the local observations that were not sent yet, each once."""
 
     def merge(self, observation: Observation, now: float) -> bool:
-        """Take in what another node saw; return False for no news."""
+        """Merge a remote observation; return False if it is not new."""
 
 
 class LeaseStore(Protocol):
-    """Register a key that goes away when its writer does."""
+    """Write keys that are removed when the lease of their writer ends."""
 
     async def grant_lease(self, seconds: float) -> int:
-        """Begin a lease and return its number."""
+        """Grant a lease and return its id."""
 
     async def keep_lease_alive(self, lease: int) -> bool:
-        """Renew a lease; False when it has ended."""
+        """Renew a lease; return False if it has expired."""
 
     async def revoke_lease(self, lease: int) -> None:
-        """End a lease, and remove its keys."""
+        """Revoke a lease, which removes its keys."""
 
     async def read(
         self,
@@ -71,7 +71,7 @@
         *,
         stale: bool = False,
     ) -> StoredValue | None:
-        """Return a value; a stale one may be seconds old, and costs less."""
+        """Return a value; a stale read is cheaper and may be seconds old."""
 
     async def compare_and_swap(
         self,
--- a/burdocksill/readers/subscription.py
+++ b/burdocksill/readers/subscription.py
@@ -12,7 +12,7 @@
 from burdocksill.platform.values import Snapshot
 from burdocksill.readers.datagrams import Offer, Update, UpdateRequest
 from burdocksill.readers.messages import Reader
-from burdocksill.readers.protocols import Directory, StoreCache
+from burdocksill.readers.protocols import ReaderRegistry, StoreCache
 
 # A node requests updates once its data is this old. A reader's own data is
 # younger, so its answer makes the node current again.
@@ -54,7 +54,7 @@
 
     name: str
     domain: str
-    directory: Directory
+    directory: ReaderRegistry
     store_cache: StoreCache
     clock: Clock
     rng: Random
