--- a/burdocksill/readers/wire.py
+++ b/burdocksill/readers/wire.py
@@ -1,4 +1,4 @@
-"""The datagrams between nodes."""
+"""Encoding of the datagrams between nodes."""
 
 import struct
 import zlib
@@ -17,37 +17,37 @@
 )
 from burdocksill.readers.messages import Observation
 
-ASK_KIND: Final = 1
-# 2 stays free: older nodes send another layout under it.
+UPDATE_REQUEST_KIND: Final = 1
+# 2 is reserved: older nodes send another layout under it.
 UPDATE_KIND: Final = 5
 OBSERVATIONS_KIND: Final = 3
 OFFER_KIND: Final = 4
 # Kind, token, revision.
-ASK: Final = struct.Struct('>BQQ')
+UPDATE_REQUEST: Final = struct.Struct('>BQQ')
 # Kind, token, after, revision, age, stable, followers, whether changes follow.
 UPDATE: Final = struct.Struct('>BQQQffH?')
-MOST_FOLLOWERS: Final = (1 << 16) - 1
+MAX_FOLLOWERS: Final = (1 << 16) - 1
 # Kind, revision, age.
 OFFER: Final = struct.Struct('>BQf')
 # Revision, whether the key was removed, length of key and value.
 CHANGE: Final = struct.Struct('>Q?HI')
 # Echo, reporter, age in milliseconds, whether it answered.
 OBSERVATION: Final = struct.Struct('>IHH?')
-# What one datagram carries without being split on its way.
+# As many as one datagram carries without IP fragmentation.
 MAX_OBSERVATIONS: Final = 128
 MILLISECONDS: Final = 1000
 MAX_OBSERVATION_AGE_MS: Final = (1 << 16) - 1
-# The largest packed changes of an update. What is larger, each node reads from
-# the store by one call of its own. Networks carry such a datagram in parts, and
-# a lost one is asked for again.
-LARGEST_BODY: Final = 8192
-# Bounds what a forged datagram can make a node unpack.
-LARGEST_UNPACKED: Final = 1 << 20
+# Maximum size of an update's compressed changes. Each node reads larger changes
+# from the store itself. Datagrams of this size are fragmented, and a lost one
+# is requested again.
+MAX_BODY_BYTES: Final = 8192
+# Bounds what a node decompresses for a forged datagram.
+MAX_DECOMPRESSED_BYTES: Final = 1 << 20
 
 
 @attrs.frozen
-class UpdateHead:
-    """Hold the fixed part of an update; fields stand in wire order."""
+class UpdateHeader:
+    """Hold the fixed part of an update, with fields in wire order."""
 
     kind: int
     token: int
@@ -56,20 +56,23 @@
     age: float
     stable: float
     followers: int
-    whole: bool
+    has_changes: bool
 
 
-def encode_update_request(ask: UpdateRequest) -> bytes:
-    """Write an ask."""
-    return ASK.pack(ASK_KIND, ask.token, ask.revision)
+def encode_update_request(request: UpdateRequest) -> bytes:
+    """Encode an update request."""
+    return UPDATE_REQUEST.pack(
+        UPDATE_REQUEST_KIND, request.token, request.revision
+    )
 
 
 def decode(payload: bytes, now: float = 0) -> Message | None:
-    """Read a datagram, None for anything that no node would send."""
+    """Decode a datagram; return None if it is invalid."""
     kind = payload[0] if payload else 0
-    if kind == ASK_KIND and len(payload) == ASK.size:
+    if kind == UPDATE_REQUEST_KIND and len(payload) == UPDATE_REQUEST.size:
         return UpdateRequest(
-            token=ASK.unpack(payload)[1], revision=ASK.unpack(payload)[2]
+            token=UPDATE_REQUEST.unpack(payload)[1],
+            revision=UPDATE_REQUEST.unpack(payload)[2],
         )
     if kind == UPDATE_KIND and len(payload) >= UPDATE.size:
         return decode_update(payload)
@@ -81,12 +84,12 @@
 
 
 def encode_offer(offer: Offer) -> bytes:
-    """Write an offer."""
+    """Encode an offer."""
     return OFFER.pack(OFFER_KIND, offer.revision, offer.age)
 
 
 def decode_offer(payload: bytes) -> Offer | None:
-    """Read an offer."""
+    """Decode an offer; return None if its age is invalid."""
     _, revision, age = OFFER.unpack(payload)
     return Offer(revision=revision, age=age) if age >= 0 else None
 
@@ -94,16 +97,16 @@
 def encode_observations(
     observations: Iterable[Observation], now: float
 ) -> bytes:
-    """Write observations with their ages; clocks of two nodes differ."""
+    """Encode observations with ages, as the clocks of two nodes differ."""
     parts = [bytes((OBSERVATIONS_KIND,))]
     for observation in observations:
         age = round((now - observation.at) * MILLISECONDS)
-        bounded = min(max(age, 0), MAX_OBSERVATION_AGE_MS)
+        age_ms = min(max(age, 0), MAX_OBSERVATION_AGE_MS)
         parts.append(
             OBSERVATION.pack(
                 observation.echo,
                 observation.reporter,
-                bounded,
+                age_ms,
                 observation.answered,
             ),
         )
@@ -111,7 +114,7 @@
 
 
 def decode_observations(body: bytes, now: float) -> Observations | None:
-    """Read observations by this node's clock, None for anything else."""
+    """Decode observations by the local clock; return None if invalid."""
     count, rest = divmod(len(body), OBSERVATION.size)
     if rest or not 0 < count <= MAX_OBSERVATIONS:
         return None
@@ -129,7 +132,7 @@
 
 
 def encode_changes(changes: tuple[StoredValue, ...]) -> bytes | None:
-    """Pack changes, None when no node would take them as a datagram."""
+    """Compress changes; return None if they exceed a limit of receivers."""
     parts: list[bytes] = []
     for change in changes:
         key = change.key.encode()
@@ -140,15 +143,15 @@
             len(change.value),
         )
         parts.extend((head, key, change.value))
-    plain = b''.join(parts)
-    if len(plain) > LARGEST_UNPACKED:
+    uncompressed = b''.join(parts)
+    if len(uncompressed) > MAX_DECOMPRESSED_BYTES:
         return None
-    body = zlib.compress(plain) if plain else b''
-    return body if len(body) <= LARGEST_BODY else None
+    body = zlib.compress(uncompressed) if uncompressed else b''
+    return body if len(body) <= MAX_BODY_BYTES else None
 
 
 def encode_update(update: Update, body: bytes | None) -> bytes:
-    """Write an update with its changes as `encode_changes` packed them."""
+    """Encode an update with changes that `encode_changes` compressed."""
     head = UPDATE.pack(
         UPDATE_KIND,
         update.token,
@@ -156,19 +159,19 @@
         update.revision,
         update.age,
         update.stable,
-        min(update.followers, MOST_FOLLOWERS),
+        min(update.followers, MAX_FOLLOWERS),
         body is not None,
     )
     return head + (body or b'')
 
 
 def decode_update(payload: bytes) -> Update | None:
-    """Read an update."""
-    head = UpdateHead(*UPDATE.unpack_from(payload))
+    """Decode an update; return None if it is invalid."""
+    head = UpdateHeader(*UPDATE.unpack_from(payload))
     changes = decode_changes(payload[UPDATE.size :])
-    # Comparisons with a float that is no number are false.
-    sound = head.age >= 0 and head.revision >= head.after
-    if changes is None or not sound:
+    # Comparisons with NaN are false.
+    is_valid = head.age >= 0 and head.revision >= head.after
+    if changes is None or not is_valid:
         return None
     return Update(
         token=head.token,
@@ -177,39 +180,41 @@
         age=head.age,
         stable=head.stable,
         followers=head.followers,
-        changes=changes if head.whole else None,
+        changes=changes if head.has_changes else None,
     )
 
 
-def decode_changes(packed: bytes) -> tuple[StoredValue, ...] | None:
-    """Unpack changes, None when they can't be read."""
-    if not packed:
+def decode_changes(compressed: bytes) -> tuple[StoredValue, ...] | None:
+    """Decompress and decode changes; return None if they are invalid."""
+    if not compressed:
         return ()
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        body = unpacker.decompress(packed, LARGEST_UNPACKED)
-        if unpacker.unconsumed_tail:
+        body = decompressor.decompress(compressed, MAX_DECOMPRESSED_BYTES)
+        if decompressor.unconsumed_tail:
             return None
-        return tuple(split_changes(body))
+        return tuple(decode_each_change(body))
     except (zlib.error, struct.error, UnicodeDecodeError, EOFError):
         return None
 
 
-def split_changes(body: bytes) -> list[StoredValue]:
-    """Read one change after the other; EOFError where one is cut short."""
+def decode_each_change(body: bytes) -> list[StoredValue]:
+    """Decode all changes; raise EOFError if the last one is truncated."""
     changes: list[StoredValue] = []
-    at = 0
-    while at < len(body):
-        revision, removed, key_size, value_size = CHANGE.unpack_from(body, at)
-        key_at = at + CHANGE.size
+    position = 0
+    while position < len(body):
+        revision, removed, key_size, value_size = CHANGE.unpack_from(
+            body, position
+        )
+        key_at = position + CHANGE.size
         value_at = key_at + key_size
-        at = value_at + value_size
-        if at > len(body):
+        position = value_at + value_size
+        if position > len(body):
             raise EOFError
         changes.append(
             StoredValue(
                 key=body[key_at:value_at].decode(),
-                value=body[value_at:at],
+                value=body[value_at:position],
                 revision=revision,
                 removed=removed,
             ),
