--- a/burdocksill/membership/rumours.py
+++ b/burdocksill/membership/broadcasts.py
@@ -19,14 +19,14 @@
 STATES_PER_MESSAGE: Final = 8
 # A change is told this many times the logarithm of the members' number; the
 # chance that it misses one then falls with the members' number.
-TELLINGS: Final = 3
+RETRANSMIT_FACTOR: Final = 3
 # Without news, one message in so many introduces somebody in full.
-INTRODUCTION_EVERY: Final = 4
+MESSAGES_PER_INTRODUCTION: Final = 4
 BY_RANK: Final = tuple(sorted(RANKS, key=lambda state: RANKS[state]))
 
 
 @attrs.frozen(kw_only=True)
-class StateRumour:
+class StateUpdate:
     """Hold a belief on a member that the receiver is expected to know."""
 
     tag: bytes
@@ -35,44 +35,48 @@
 
 
 @attrs.define(kw_only=True)
-class RumourQueue:
+class BroadcastQueue:
     """Choose what the next message tells within its budget."""
 
     table: MemberTable
     # How often each member's news was told.
-    fresh: dict[bytes, int] = attrs.field(factory=dict)
-    introduced: dict[bytes, int] = attrs.field(factory=dict)
+    change_counts: dict[bytes, int] = attrs.field(factory=dict)
+    introduction_counts: dict[bytes, int] = attrs.field(factory=dict)
     rotation: list[bytes] = attrs.field(factory=list)
     messages: int = 0
 
     def add(self, tag: bytes, *, introduce: bool = False) -> None:
         """Tell of a member's change from now on."""
-        self.fresh[tag] = 0
+        self.change_counts[tag] = 0
         if introduce:
-            self.introduced[tag] = 0
+            self.introduction_counts[tag] = 0
 
     def limit(self) -> int:
         """Return how often one change is told."""
-        return TELLINGS * math.ceil(math.log2(len(self.table.known) + 1))
+        return RETRANSMIT_FACTOR * math.ceil(
+            math.log2(len(self.table.known) + 1)
+        )
 
     def states(self, first: tuple[bytes, ...]) -> bytes:
         """Pack the states that the next message tells."""
         chosen = list(dict.fromkeys(first))
-        chosen += self.least_told(self.fresh, STATES_PER_MESSAGE - len(chosen))
-        chosen += self.in_turn(STATES_PER_MESSAGE - len(chosen))
-        held = (self.table.find(tag) for tag in chosen)
-        return b''.join(pack(known.member) for known in held if known)
+        chosen += self.least_sent(
+            self.change_counts, STATES_PER_MESSAGE - len(chosen)
+        )
+        chosen += self.next_in_rotation(STATES_PER_MESSAGE - len(chosen))
+        entry = (self.table.find(tag) for tag in chosen)
+        return b''.join(pack(known.member) for known in entry if known)
 
     def introduction(self) -> Member | None:
         """Return a member to introduce in full: news, or now and then any."""
         self.messages += 1
-        chosen = self.least_told(self.introduced, 1)
-        if not chosen and self.messages % INTRODUCTION_EVERY == 0:
-            chosen = self.in_turn(1)
-        held = self.table.find(chosen[0]) if chosen else None
-        return held.member if held else None
+        chosen = self.least_sent(self.introduction_counts, 1)
+        if not chosen and self.messages % MESSAGES_PER_INTRODUCTION == 0:
+            chosen = self.next_in_rotation(1)
+        entry = self.table.find(chosen[0]) if chosen else None
+        return entry.member if entry else None
 
-    def least_told(self, told: dict[bytes, int], count: int) -> list[bytes]:
+    def least_sent(self, told: dict[bytes, int], count: int) -> list[bytes]:
         """Return the members whose news was told least, and count it."""
         chosen = sorted(told, key=lambda tag: told[tag])[: max(0, count)]
         for tag in chosen:
@@ -81,8 +85,8 @@
                 told.pop(tag)
         return chosen
 
-    def in_turn(self, count: int) -> list[bytes]:
-        """Return the next members in turn: it heals what rumours missed."""
+    def next_in_rotation(self, count: int) -> list[bytes]:
+        """Return the next members in turn: it heals what broadcasts missed."""
         chosen: list[bytes] = []
         for _ in range(count):
             if not self.rotation:
@@ -96,12 +100,12 @@
     return STATE.pack(member.tag, member.incarnation, RANKS[member.state])
 
 
-def unpack(states: bytes) -> Iterator[StateRumour]:
+def unpack(states: bytes) -> Iterator[StateUpdate]:
     """Read packed states; a newer version's unknown state is passed over."""
     whole = len(states) // STATE.size * STATE.size
     for tag, incarnation, rank in STATE.iter_unpack(states[:whole]):
         if rank < len(BY_RANK):
-            yield StateRumour(
+            yield StateUpdate(
                 tag=tag,
                 incarnation=incarnation,
                 state=BY_RANK[rank],
--- a/burdocksill/membership/contacts.py
+++ b/burdocksill/membership/contacts.py
@@ -31,9 +31,9 @@
     """
 
     table: MemberTable
-    heard_at: dict[str, float] = attrs.field(factory=dict)
+    received_at: dict[str, float] = attrs.field(factory=dict)
     names: dict[bytes, str] = attrs.field(factory=dict)
-    turn: int = 0
+    next_index: int = 0
 
     def contacts(self, domain: str) -> list[Member]:
         """Return the members that talk for a domain."""
@@ -48,47 +48,47 @@
     def others(self) -> list[str]:
         """Return the other domains."""
         own = self.table.local_member.domain
-        return [name for name in sorted(self.heard_at) if name != own]
+        return [name for name in sorted(self.received_at) if name != own]
 
     def next_domain(self) -> str | None:
         """Return the domain to ask next, each in turn."""
         others = self.others()
         if not others:
             return None
-        self.turn += 1
-        return others[self.turn % len(others)]
+        self.next_index += 1
+        return others[self.next_index % len(others)]
 
-    def hear(self, domain: str, at: float) -> None:
+    def record_received(self, domain: str, at: float) -> None:
         """Remember that a domain was heard."""
-        self.heard_at[domain] = max(self.heard_at.get(domain, at), at)
+        self.received_at[domain] = max(self.received_at.get(domain, at), at)
 
-    def learn(self, domain: str, now: float) -> None:
+    def add_domain(self, domain: str, now: float) -> None:
         """Start a domain's silence when it becomes known."""
         self.names[name_tag(domain)] = domain
-        self.heard_at.setdefault(domain, now)
+        self.received_at.setdefault(domain, now)
 
-    def cut_off(self, domain: str, now: float) -> bool:
+    def is_unreachable(self, domain: str, now: float) -> bool:
         """Return True after a domain's silence."""
-        heard = self.heard_at.get(domain)
-        if heard is None or domain == self.table.local_member.domain:
+        last_received_at = self.received_at.get(domain)
+        if last_received_at is None or domain == self.table.local_member.domain:
             return False
-        allowed = SILENCE_SECONDS + SILENCE_STEP_SECONDS * len(self.heard_at)
-        return now - heard > allowed
+        allowed = SILENCE_SECONDS + SILENCE_STEP_SECONDS * len(self.received_at)
+        return now - last_received_at > allowed
 
     def pack(self, now: float) -> bytes:
         """Pack how long ago each other domain was heard."""
         parts: list[bytes] = []
-        for domain in sorted(self.heard_at):
-            age = (now - self.heard_at[domain]) / AGE_STEP_SECONDS
+        for domain in sorted(self.received_at):
+            age = (now - self.received_at[domain]) / AGE_STEP_SECONDS
             # Rounded up, so that passing an age on never makes it younger.
             steps = min(OLDEST, math.ceil(age) + 1)
             parts.append(HEARD.pack(name_tag(domain), steps))
         return b''.join(parts)
 
-    def take(self, packed: bytes, now: float) -> None:
+    def merge_ages(self, packed: bytes, now: float) -> None:
         """Take what a member of the own domain heard."""
         whole = len(packed) // HEARD.size * HEARD.size
         for tag, steps in HEARD.iter_unpack(packed[:whole]):
             domain = self.names.get(tag)
             if domain is not None and steps < OLDEST:
-                self.hear(domain, now - steps * AGE_STEP_SECONDS)
+                self.record_received(domain, now - steps * AGE_STEP_SECONDS)
--- a/burdocksill/membership/heartbeats.py
+++ b/burdocksill/membership/heartbeats.py
@@ -8,10 +8,10 @@
 import attrs
 import trio
 
-from burdocksill.membership.beliefs import Beliefs
+from burdocksill.membership.broadcasts import member_from, record_of, unpack
+from burdocksill.membership.member_states import MemberStates
 from burdocksill.membership.piggyback import NoPiggyback, Piggyback
 from burdocksill.membership.protocols import Member
-from burdocksill.membership.rumours import member_from, record_of, unpack
 from burdocksill.network.protocols import Address
 from burdocksill.peers.channel import PeerChannel
 from burdocksill.peers.envelope import VerifiedMessage
@@ -23,44 +23,44 @@
     ProbeRequest,
 )
 
-DIRECT_SECONDS: Final = 0.15
+DIRECT_TIMEOUT_SECONDS: Final = 0.15
 
 
 @attrs.define(kw_only=True)
 class Heartbeats:
     """Send probes, answer them and read what they carry."""
 
-    beliefs: Beliefs
+    member_states: MemberStates
     documents: Piggyback = attrs.field(factory=NoPiggyback)
     hints: Piggyback = attrs.field(factory=NoPiggyback)
     channel: PeerChannel | None = None
     nursery: trio.Nursery | None = None
     numbers: Iterator[int] = attrs.field(factory=lambda: itertools.count(1))
-    waiting: dict[int, trio.Event] = attrs.field(factory=dict)
+    pending_probes: dict[int, trio.Event] = attrs.field(factory=dict)
 
     def attach(self, channel: PeerChannel) -> None:
         """Take heartbeats from the channel."""
         self.channel = channel
-        channel.handlers[Probe] = self.take_probe
-        channel.handlers[ProbeAck] = self.take_ack
-        channel.handlers[ProbeRequest] = self.take_request
+        channel.handlers[Probe] = self.handle_probe
+        channel.handlers[ProbeAck] = self.handle_ack
+        channel.handlers[ProbeRequest] = self.handle_request
 
     def introductions(self, about: tuple[bytes, ...]) -> list[MemberRecord]:
         """Introduce this VM where it is unknown, others where there is news."""
-        held = self.beliefs.table.find(about[0]) if about else None
-        if held is None or math.isinf(held.heard_at):
-            return [record_of(self.beliefs.local_member)]
-        introduced = self.beliefs.rumours.introduction()
+        entry = self.member_states.table.find(about[0]) if about else None
+        if entry is None or math.isinf(entry.received_at):
+            return [record_of(self.member_states.local_member)]
+        introduced = self.member_states.broadcasts.introduction()
         return [record_of(introduced)] if introduced else []
 
     def gossip(self, *about: bytes) -> Gossip:
         """Write what the next heartbeat carries."""
         now = trio.current_time()
-        first = (self.beliefs.local_member.tag, *about)
+        first = (self.member_states.local_member.tag, *about)
         return Gossip(
             members=tuple(self.introductions(about)),
-            states=self.beliefs.rumours.states(first),
-            heard=self.beliefs.contacts.pack(now),
+            states=self.member_states.broadcasts.states(first),
+            heard=self.member_states.contacts.pack(now),
             digest=self.documents.pack(),
             hints=self.hints.pack(),
         )
@@ -75,82 +75,84 @@
         if self.channel is not None:
             self.channel.send(message, peer)
 
-    def take_probe(self, opened: VerifiedMessage, peer: Address) -> None:
+    def handle_probe(self, opened: VerifiedMessage, peer: Address) -> None:
         """Answer a probe."""
         message = opened.message
         if isinstance(message, Probe):
-            self.take_gossip(message.gossip, opened.sender_tag)
+            self.handle_gossip(message.gossip, opened.sender_tag)
             gossip = self.gossip(opened.sender_tag)
             self.send(ProbeAck(number=message.number, gossip=gossip), peer)
 
-    def take_ack(self, opened: VerifiedMessage, peer: Address) -> None:
+    def handle_ack(self, opened: VerifiedMessage, peer: Address) -> None:
         """Match an answer with the probe that waits for it."""
         message = opened.message
         if not isinstance(message, ProbeAck):
             return
-        self.take_gossip(message.gossip, opened.sender_tag)
-        about = self.beliefs.table.find(message.about)
+        self.handle_gossip(message.gossip, opened.sender_tag)
+        about = self.member_states.table.find(message.about)
         if about is not None:
-            about.heard_at = trio.current_time()
-        waiter = self.waiting.get(message.number)
+            about.received_at = trio.current_time()
+        waiter = self.pending_probes.get(message.number)
         if waiter is not None:
             waiter.set()
 
-    def take_request(self, opened: VerifiedMessage, peer: Address) -> None:
+    def handle_request(self, opened: VerifiedMessage, peer: Address) -> None:
         """Probe a member for somebody who cannot reach it."""
         message = opened.message
         if not isinstance(message, ProbeRequest) or self.nursery is None:
             return
-        target = self.beliefs.table.find(message.target)
+        target = self.member_states.table.find(message.target)
         if target is not None:
             self.nursery.start_soon(
-                self.help_probe,
+                self.probe_for_peer,
                 target.member,
                 message.number,
                 peer,
             )
 
-    async def help_probe(
+    async def probe_for_peer(
         self,
         target: Member,
         asked_number: int,
-        asker: Address,
+        requester: Address,
     ) -> None:
         """Probe a member once and pass its answer on."""
-        number, answered = self.expect_answer()
+        number, answered = self.register_probe()
         self.send_probe(target, number)
-        with trio.move_on_after(DIRECT_SECONDS):
+        with trio.move_on_after(DIRECT_TIMEOUT_SECONDS):
             await answered.wait()
-        self.waiting.pop(number)
+        self.pending_probes.pop(number)
         if answered.is_set():
             ack = ProbeAck(
                 number=asked_number,
                 gossip=self.gossip(),
                 about=target.tag,
             )
-            self.send(ack, asker)
+            self.send(ack, requester)
 
-    def take_gossip(self, gossip: Gossip, sender_tag: bytes) -> None:
+    def handle_gossip(self, gossip: Gossip, sender_tag: bytes) -> None:
         """Read all that a heartbeat carried."""
         now = trio.current_time()
         for record in gossip.members:
-            self.beliefs.take_member(member_from(record))
-        sender = self.beliefs.table.find(sender_tag)
+            self.member_states.handle_introduction(member_from(record))
+        sender = self.member_states.table.find(sender_tag)
         if sender is None:
             return
-        sender.heard_at = now
-        for rumour in unpack(gossip.states):
-            self.beliefs.take_state(rumour, now)
-        if sender.member.domain == self.beliefs.local_member.domain:
-            self.beliefs.contacts.take(gossip.heard, now)
+        sender.received_at = now
+        for update in unpack(gossip.states):
+            self.member_states.handle_state(update, now)
+        if sender.member.domain == self.member_states.local_member.domain:
+            self.member_states.contacts.merge_ages(gossip.heard, now)
         else:
-            self.beliefs.contacts.hear(sender.member.domain, now)
+            self.member_states.contacts.record_received(
+                sender.member.domain, now
+            )
         self.documents.take(gossip.digest, sender.member)
         self.hints.take(gossip.hints, sender.member)
 
-    def expect_answer(self) -> tuple[int, trio.Event]:
+    def register_probe(self) -> tuple[int, trio.Event]:
         """Return a probe's number and what its answer sets."""
         number = next(self.numbers)
         answered = trio.Event()
-        self.waiting[number] = answered
+        self.pending_probes[number] = answered
         return number, answered
--- a/burdocksill/membership/quorum.py
+++ b/burdocksill/membership/quorum.py
@@ -9,7 +9,7 @@
 
 WINDOW_SECONDS: Final = 3.0
 # With one or two members no majority can tell a dead one from a cut.
-SMALLEST: Final = 2
+MIN_PROBED: Final = 2
 
 
 @attrs.frozen(kw_only=True)
@@ -30,30 +30,30 @@
     """
 
     table: MemberTable
-    longest_gap_seconds: float
+    max_gap_seconds: float
     attempts: deque[Attempt] = attrs.field(factory=deque)
     last_tick: float = 0
     last_wall: float = 0
     resumed_at: float = -WINDOW_SECONDS
 
-    def probed(self, tag: bytes, now: float) -> None:
+    def record_probe(self, tag: bytes, now: float) -> None:
         """Remember that a member of the own domain was probed."""
         self.attempts.append(Attempt(tag=tag, at=now))
-        self.prune(now)
+        self.drop_old_attempts(now)
 
-    def prune(self, now: float) -> None:
+    def drop_old_attempts(self, now: float) -> None:
         """Drop the attempts that are too long ago to tell anything."""
         while self.attempts and self.attempts[0].at < now - WINDOW_SECONDS:
             self.attempts.popleft()
 
-    def tick(self, now: float, wall: float) -> bool:
+    def record_tick(self, now: float, wall: float) -> bool:
         """Return True when this VM was paused since the last tick.
 
-        The wall clock is asked too because some hosts stop the monotonic
+        The wall clock is probed too because some hosts stop the monotonic
         clock with the VM. A wall clock that is set ahead looks the same and
         costs one round of heartbeats.
         """
-        paused = self.gap(now, wall) > self.longest_gap_seconds
+        paused = self.seconds_since_tick(now, wall) > self.max_gap_seconds
         if paused:
             self.resumed_at = now
             self.attempts.clear()
@@ -61,39 +61,39 @@
         self.last_wall = wall
         return paused
 
-    def gap(self, now: float, wall: float) -> float:
+    def seconds_since_tick(self, now: float, wall: float) -> float:
         """Return the longest time since the last tick by either clock."""
         if not self.last_wall:
             return 0
         return max(now - self.last_tick, wall - self.last_wall)
 
-    def holds(self, now: float, wall: float) -> bool:
+    def is_quorate(self, now: float, wall: float) -> bool:
         """Return True while a majority is heard and no pause is unhealed."""
-        if self.gap(now, wall) > self.longest_gap_seconds:
+        if self.seconds_since_tick(now, wall) > self.max_gap_seconds:
             # Resumed a moment ago, and the tick has not run yet.
             return False
-        self.prune(now)
+        self.drop_old_attempts(now)
         since = max(now - WINDOW_SECONDS, self.resumed_at)
         own = self.table.local_member
-        peers = {held.tag for held in self.table.live(own.domain)}
-        asked = {attempt.tag for attempt in self.attempts} - {own.tag}
+        peers = {entry.tag for entry in self.table.live(own.domain)}
+        probed = {attempt.tag for attempt in self.attempts} - {own.tag}
         just_resumed = now - self.resumed_at < WINDOW_SECONDS
         if just_resumed:
-            asked |= peers - {own.tag}
+            probed |= peers - {own.tag}
         # Who announced its leave is missed by nobody: counting it would
         # fence the rest of a domain whose VMs are replaced in turn.
-        asked = {tag for tag in asked if not self.has_left(tag)}
-        heard = sum(self.heard_since(tag, since) for tag in asked)
-        if len(asked) < SMALLEST and not just_resumed:
+        probed = {tag for tag in probed if not self.has_left(tag)}
+        received = sum(self.received_since(tag, since) for tag in probed)
+        if len(probed) < MIN_PROBED and not just_resumed:
             return True
-        return 2 * (heard + 1) > len(asked) + 1
+        return 2 * (received + 1) > len(probed) + 1
 
     def has_left(self, tag: bytes) -> bool:
         """Return True for a member that left as planned."""
-        held = self.table.find(tag)
-        return held is None or held.left
+        entry = self.table.find(tag)
+        return entry is None or entry.left
 
-    def heard_since(self, tag: bytes, since: float) -> bool:
+    def received_since(self, tag: bytes, since: float) -> bool:
         """Return True when a member was heard after a time."""
-        held = self.table.find(tag)
-        return held is not None and held.heard_at > since
+        entry = self.table.find(tag)
+        return entry is not None and entry.received_at > since
--- a/burdocksill/membership/rotation.py
+++ b/burdocksill/membership/rotation.py
@@ -4,9 +4,9 @@
 
 import attrs
 
-from burdocksill.membership.beliefs import REFORM_SECONDS
+from burdocksill.membership.member_states import DEAD_PROBE_SECONDS
 from burdocksill.membership.protocols import Member, MemberState
-from burdocksill.membership.table import KnownMember, MemberTable
+from burdocksill.membership.table import MemberEntry, MemberTable
 
 
 @attrs.define(kw_only=True)
@@ -24,26 +24,26 @@
                 self.rest = self.new_round(now)
                 if not self.rest:
                     return None
-            held = self.table.find(self.rest.pop())
-            if held is not None and self.is_probed(held, now):
-                return held.member
+            entry = self.table.find(self.rest.pop())
+            if entry is not None and self.is_probed(entry, now):
+                return entry.member
 
     def new_round(self, now: float) -> list[bytes]:
         """Shuffle the members to probe."""
         found = [
-            held.member.tag
-            for held in self.table.of_domain(self.table.local_member.domain)
-            if self.is_probed(held, now)
+            entry.member.tag
+            for entry in self.table.of_domain(self.table.local_member.domain)
+            if self.is_probed(entry, now)
         ]
         return self.rng.sample(found, len(found))
 
-    def is_probed(self, held: KnownMember, now: float) -> bool:
+    def is_probed(self, entry: MemberEntry, now: float) -> bool:
         """Return True for the others, and for the dead for a while.
 
         A VM that is cut off from all others must not take their silence for
         a smaller domain at once: they stay in its quorum's count.
         """
-        if held.member.tag == self.table.local_member.tag:
+        if entry.member.tag == self.table.local_member.tag:
             return False
-        dead = held.state is MemberState.DEAD
-        return not dead or now - held.since < REFORM_SECONDS
+        dead = entry.state is MemberState.DEAD
+        return not dead or now - entry.since < DEAD_PROBE_SECONDS
--- a/burdocksill/membership/swim.py
+++ b/burdocksill/membership/swim.py
@@ -9,27 +9,27 @@
 import trio
 
 from burdocksill.exceptions import BurdocksillError
-from burdocksill.membership.beliefs import Beliefs
 from burdocksill.membership.contacts import CONTACT_SECONDS
-from burdocksill.membership.heartbeats import DIRECT_SECONDS, Heartbeats
+from burdocksill.membership.heartbeats import DIRECT_TIMEOUT_SECONDS, Heartbeats
+from burdocksill.membership.member_states import MemberStates
 from burdocksill.membership.protocols import Member, MemberState
 from burdocksill.membership.quorum import Quorum
 from burdocksill.membership.rotation import ProbeRotation
-from burdocksill.membership.table import KnownMember, MemberTable
+from burdocksill.membership.table import MemberEntry, MemberTable
 from burdocksill.network.protocols import Address, WallClock
 from burdocksill.observe.counters import Counters
 from burdocksill.peers.messages import Probe, ProbeRequest
 from burdocksill.platform.protocols import Platform
 
 PERIOD_SECONDS: Final = 0.5
-INDIRECT_SECONDS: Final = 0.3
-HELPERS: Final = 3
+INDIRECT_TIMEOUT_SECONDS: Final = 0.3
+INDIRECT_PROBES: Final = 3
 RETRY_DEAD_SECONDS: Final = 2.0
 # A tick that comes this late means that the process stood still.
-PAUSE_SECONDS: Final = 1.5
+MAX_TICK_GAP_SECONDS: Final = 1.5
 LIST_SECONDS: Final = 10.0
-FIRST_PROBES: Final = 16
-LEAVE_TELLINGS: Final = 3
+MAX_INITIAL_PROBES: Final = 16
+LEAVE_ROUNDS: Final = 3
 
 
 @attrs.define(kw_only=True)
@@ -46,7 +46,7 @@
     # Tells whether this VM is one of the few that read the platform's list.
     should_read_list: Callable[[], bool] = lambda: True
     table: MemberTable = attrs.field(init=False)
-    beliefs: Beliefs = attrs.field(init=False)
+    member_states: MemberStates = attrs.field(init=False)
     heartbeats: Heartbeats = attrs.field(init=False)
     quorum: Quorum = attrs.field(init=False)
     rotation: ProbeRotation = attrs.field(init=False)
@@ -60,12 +60,14 @@
             incarnation=int(self.clock.now()),
         )
         self.table = MemberTable(local_member=local_member)
-        self.beliefs = Beliefs(table=self.table, counters=self.counters)
-        self.heartbeats = Heartbeats(beliefs=self.beliefs)
+        self.member_states = MemberStates(
+            table=self.table, counters=self.counters
+        )
+        self.heartbeats = Heartbeats(member_states=self.member_states)
         self.rotation = ProbeRotation(table=self.table, rng=self.rng)
         self.quorum = Quorum(
             table=self.table,
-            longest_gap_seconds=PAUSE_SECONDS,
+            max_gap_seconds=MAX_TICK_GAP_SECONDS,
         )
 
     @property
@@ -75,31 +77,33 @@
 
     def live(self, domain: str) -> tuple[Member, ...]:
         """Return the members that may own upstreams, sorted by name."""
-        if self.beliefs.contacts.cut_off(domain, trio.current_time()):
+        if self.member_states.contacts.is_unreachable(
+            domain, trio.current_time()
+        ):
             return ()
         return self.table.live(domain)
 
     def leaving(self, domain: str) -> tuple[Member, ...]:
         """Return the members that are handing over before they stop."""
         return tuple(
-            held.member
-            for held in self.table.of_domain(domain)
-            if held.state is MemberState.LEAVING
+            entry.member
+            for entry in self.table.of_domain(domain)
+            if entry.state is MemberState.LEAVING
         )
 
     def find(self, tag: bytes) -> Member | None:
         """Return a member that packets can be relayed to, leaving included."""
-        held = self.table.find(tag)
-        if held is None or held.state is MemberState.DEAD:
+        entry = self.table.find(tag)
+        if entry is None or entry.state is MemberState.DEAD:
             return None
         now = trio.current_time()
-        if self.beliefs.contacts.cut_off(held.member.domain, now):
+        if self.member_states.contacts.is_unreachable(entry.member.domain, now):
             return None
-        return held.member
+        return entry.member
 
     def quorate(self) -> bool:
         """Return True while this VM hears a majority of its domain."""
-        return self.quorum.holds(trio.current_time(), self.clock.now())
+        return self.quorum.is_quorate(trio.current_time(), self.clock.now())
 
     def subscribe(self, listener: Callable[[], None]) -> None:
         """Call a listener after every change of members."""
@@ -112,7 +116,7 @@
         except BurdocksillError:
             self.counters.add('list_unreadable')
             return
-        self.beliefs.take_list(records)
+        self.member_states.apply_list(records)
 
     async def bootstrap(self, seeds: tuple[Address, ...] = ()) -> None:
         """Ask listed members for a sign of life before serving.
@@ -125,18 +129,18 @@
             probe = Probe(number=0, gossip=self.heartbeats.gossip())
             self.heartbeats.send(probe, seed)
         peers = [
-            held
-            for held in self.table.of_domain(self.local_member.domain)
-            if held.member.tag != self.local_member.tag
+            entry
+            for entry in self.table.of_domain(self.local_member.domain)
+            if entry.member.tag != self.local_member.tag
         ]
-        asked = self.rng.sample(peers, min(FIRST_PROBES, len(peers)))
-        for held in asked:
-            self.heartbeats.send_probe(held.member, 0)
+        asked = self.rng.sample(peers, min(MAX_INITIAL_PROBES, len(peers)))
+        for entry in asked:
+            self.heartbeats.send_probe(entry.member, 0)
         if asked or seeds:
-            await trio.sleep(DIRECT_SECONDS + INDIRECT_SECONDS)
-        for held in asked:
-            if held.heard_at < held.since:
-                self.suspect(held)
+            await trio.sleep(DIRECT_TIMEOUT_SECONDS + INDIRECT_TIMEOUT_SECONDS)
+        for entry in asked:
+            if entry.received_at < entry.since:
+                self.suspect(entry)
 
     async def run(self) -> None:
         """Probe, tell and judge until cancelled."""
@@ -157,64 +161,66 @@
     def tick(self) -> None:
         """Do one period's work."""
         now = trio.current_time()
-        if self.quorum.tick(now, self.clock.now()):
-            self.beliefs.resume(now)
-        self.beliefs.judge(now)
+        if self.quorum.record_tick(now, self.clock.now()):
+            self.member_states.restart_suspicions(now)
+        self.member_states.end_due_suspicions(now)
         target = self.rotation.next_target(now)
         if target is not None:
             self.start_probe(target)
-        self.contact(now)
+        self.probe_other_domain(now)
         self.retry_dead(now)
 
     def start_probe(self, target: Member) -> None:
         """Probe a member in a task of its own."""
         if self.heartbeats.nursery is not None:
-            self.quorum.probed(target.tag, trio.current_time())
+            self.quorum.record_probe(target.tag, trio.current_time())
             self.heartbeats.nursery.start_soon(self.probe, target)
 
     async def probe(self, target: Member) -> None:
         """Ask a member, then ask through helpers, then suspect it."""
         started = trio.current_time()
-        number, answered = self.heartbeats.expect_answer()
+        number, answered = self.heartbeats.register_probe()
         self.heartbeats.send_probe(target, number)
-        with trio.move_on_after(DIRECT_SECONDS):
+        with trio.move_on_after(DIRECT_TIMEOUT_SECONDS):
             await answered.wait()
         if not answered.is_set():
             self.heartbeats.send_probe(target, number)
-            self.ask_helpers(target, number)
-            with trio.move_on_after(INDIRECT_SECONDS):
+            self.request_indirect_probes(target, number)
+            with trio.move_on_after(INDIRECT_TIMEOUT_SECONDS):
                 await answered.wait()
-        self.heartbeats.waiting.pop(number)
-        held = self.table.find(target.tag)
-        late = trio.current_time() - started > PAUSE_SECONDS
+        self.heartbeats.pending_probes.pop(number)
+        entry = self.table.find(target.tag)
+        late = trio.current_time() - started > MAX_TICK_GAP_SECONDS
         # After a pause of our own the answer may lie unread in the socket.
-        if answered.is_set() or late or held is None:
+        if answered.is_set() or late or entry is None:
             return
-        if held.heard_at < started:
-            self.suspect(held)
+        if entry.received_at < started:
+            self.suspect(entry)
 
-    def ask_helpers(self, target: Member, number: int) -> None:
+    def request_indirect_probes(self, target: Member, number: int) -> None:
         """Ask a few members to probe one that does not answer us."""
         others = [
             member
             for member in self.table.live(self.local_member.domain)
             if member.tag not in {target.tag, self.local_member.tag}
         ]
-        for helper in self.rng.sample(others, min(HELPERS, len(others))):
+        for helper in self.rng.sample(
+            others, min(INDIRECT_PROBES, len(others))
+        ):
             request = ProbeRequest(number=number, target=target.tag)
             self.heartbeats.send(request, helper.peer_address)
 
-    def suspect(self, held: KnownMember) -> None:
+    def suspect(self, entry: MemberEntry) -> None:
         """Doubt a member and tell everybody, itself first of all."""
-        self.beliefs.suspect(held)
-        self.heartbeats.send_probe(held.member, 0)
+        self.member_states.suspect(entry)
+        self.heartbeats.send_probe(entry.member, 0)
 
-    def contact(self, now: float) -> None:
+    def probe_other_domain(self, now: float) -> None:
         """Ask one member of another domain, on the few VMs that do."""
         if now - self.contacted_at < CONTACT_SECONDS:
             return
-        domain = self.beliefs.contacts.next_domain()
-        if domain is None or not self.beliefs.contacts.is_contact():
+        domain = self.member_states.contacts.next_domain()
+        if domain is None or not self.member_states.contacts.is_contact():
             return
         self.contacted_at = now
         members = self.table.live(domain)
@@ -231,24 +237,26 @@
             return
         self.retried_at = now
         dead = [
-            held.member
-            for held in self.table.in_doubt()
-            if held.state is MemberState.DEAD
+            entry.member
+            for entry in self.table.unhealthy_entries()
+            if entry.state is MemberState.DEAD
         ]
         if dead:
             self.heartbeats.send_probe(self.rng.choice(dead), 0)
 
     async def leave(self) -> None:
         """Tell the others that this VM takes no new work from now on."""
-        self.beliefs.announce(
+        self.member_states.announce(
             MemberState.LEAVING, self.local_member.incarnation + 1
         )
-        for _ in range(LEAVE_TELLINGS):
+        for _ in range(LEAVE_ROUNDS):
             peers = [
                 member
                 for member in self.table.live(self.local_member.domain)
                 if member.tag != self.local_member.tag
             ]
-            for peer in self.rng.sample(peers, min(FIRST_PROBES, len(peers))):
+            for peer in self.rng.sample(
+                peers, min(MAX_INITIAL_PROBES, len(peers))
+            ):
                 self.heartbeats.send_probe(peer, 0)
-            await trio.sleep(DIRECT_SECONDS)
+            await trio.sleep(DIRECT_TIMEOUT_SECONDS)
