--- a/burdocksill/membership/member_states.py
+++ b/burdocksill/membership/beliefs.py
@@ -1,4 +1,4 @@
-"""Doubt, bury, refute and announce: how member_states on members change."""
+"""State changes of members: suspect, confirm dead, refute and announce."""
 
 import logging
 import math
@@ -16,11 +16,11 @@
 from burdocksill.platform.protocols import VmRecord, VmState
 
 SUSPICION_SECONDS: Final = 1.0
-# Each doubling of a domain takes gossip about one more round.
+# Each doubling of a domain's size takes gossip about one more round.
 SUSPICION_STEP_SECONDS: Final = 0.1
-# A dead member is asked for so long, then now and then only.
+# A dead member is still probed in turn for this long, then only at times.
 DEAD_PROBE_SECONDS: Final = 5.0
-# Longer than the platform's list lags, so that it cannot bring back the dead.
+# Longer than the lag of the platform's list, which must not add dead members.
 TOMBSTONE_SECONDS: Final = 900.0
 
 logger = logging.getLogger(__name__)
@@ -28,7 +28,7 @@
 
 @attrs.define(kw_only=True)
 class MemberStates:
-    """Change what is believed of members, and tell the others."""
+    """Apply state changes of members, and gossip them."""
 
     table: MemberTable
     counters: Counters
@@ -36,21 +36,21 @@
     contacts: DomainContacts = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Tell of this VM first."""
+        """Gossip the local member first."""
         self.broadcasts = BroadcastQueue(table=self.table)
         self.contacts = DomainContacts(table=self.table)
         self.broadcasts.add(self.local_member.tag, introduce=True)
 
     @property
     def local_member(self) -> Member:
-        """Return this VM."""
+        """Return the member of this VM."""
         return self.table.local_member
 
     def apply_list(self, records: tuple[VmRecord, ...]) -> None:
-        """Believe the list only on members that nobody has told of.
+        """Add listed members that gossip has not reported yet.
 
-        It lags: a VM that it lacks may be alive, and one that it shows may
-        be dead, so it neither kills a member nor brings one back.
+        The list lags: a VM that it lacks may be alive, and one that it shows
+        may be dead. So it neither removes nor revives a member.
         """
         now = trio.current_time()
         for record in records:
@@ -60,20 +60,20 @@
             if entry is None and listed and record.role == ENTRY_ROLE:
                 self.merge(member)
             elif entry is not None and entry.state is MemberState.DEAD:
-                # The list still names it: keep the tombstone, ask no more.
+                # Still listed: keep the tombstone, and stop probing it.
                 entry.since = max(entry.since, now - 2 * DEAD_PROBE_SECONDS)
 
     def restart_suspicions(self, now: float) -> None:
-        """Start all suspicions anew: what we missed says nothing of them."""
+        """Restart all suspicions: messages may have been missed in a pause."""
         self.counters.add('pauses_noticed')
-        logger.warning('this VM stood still')
+        logger.warning('event loop was paused')
         for entry in self.table.known.values():
             entry.since = now
         for domain in self.contacts.received_at:
             self.contacts.record_received(domain, now)
 
     def end_due_suspicions(self, now: float) -> None:
-        """End the suspicions that are due and forget the long dead."""
+        """End the suspicions that are due, and drop old tombstones."""
         timeout = self.suspicion_seconds()
         for entry in self.table.unhealthy_entries():
             age = now - entry.since
@@ -83,16 +83,16 @@
                 self.end_suspicion(entry)
 
     def suspicion_seconds(self) -> float:
-        """Return how long a member stays suspect before it counts as dead."""
+        """Return the seconds until a suspect member is confirmed dead."""
         members = len(self.table.live(self.local_member.domain))
         doublings = math.log2(members + 1)
         return SUSPICION_SECONDS + SUSPICION_STEP_SECONDS * doublings
 
     def end_suspicion(self, entry: MemberEntry) -> None:
-        """Clear a member that we have heard ourselves, bury one we have not.
+        """Clear a member that has sent a message since, or confirm it dead.
 
-        Other domains are not probed from here: a suspicion of theirs that
-        outlives gossip is left to them, or their cut would bury them all.
+        Members of other domains are not probed from here. Their suspicions are
+        left to their own domain, or a partition would confirm them all dead.
         """
         if entry.received_at > entry.since:
             self.table.put(
@@ -102,14 +102,14 @@
             self.confirm_dead(entry)
 
     def confirm_dead(self, entry: MemberEntry) -> None:
-        """Believe a member dead and tell the others."""
+        """Mark a member as dead and gossip it."""
         self.counters.add('members_buried')
         self.merge(attrs.evolve(entry.member, state=MemberState.DEAD))
 
     def suspect(self, entry: MemberEntry) -> None:
-        """Doubt a member and tell the others."""
+        """Mark a member as suspect and gossip it."""
         if entry.state is MemberState.LEAVING:
-            # It said it would go, and now it is gone.
+            # It has announced its leave.
             self.confirm_dead(entry)
             return
         if entry.state is MemberState.ALIVE:
@@ -117,7 +117,7 @@
             self.merge(attrs.evolve(entry.member, state=MemberState.SUSPECT))
 
     def merge(self, offered: Member) -> bool:
-        """Take a belief and pass it on if it is news."""
+        """Merge a member's state, and gossip it if it supersedes."""
         self.contacts.add_domain(offered.domain, trio.current_time())
         known = self.table.find(offered.tag) is not None
         if not self.table.merge(offered):
@@ -126,14 +126,14 @@
         return True
 
     def handle_introduction(self, member: Member) -> None:
-        """Merge an introduction."""
+        """Merge the introduction of a member."""
         if member.tag == self.local_member.tag:
             self.refute(member)
         else:
             self.merge(member)
 
     def handle_state(self, update: StateUpdate, now: float) -> None:
-        """Merge a update on a member that we know."""
+        """Merge a state update of a known member."""
         entry = self.table.find(update.tag)
         if entry is None or update.incarnation < entry.member.incarnation:
             return
@@ -147,24 +147,24 @@
         if update.tag == self.local_member.tag:
             self.refute(offered)
             return
-        just_received = now - entry.received_at < self.suspicion_seconds()
-        if update.state is MemberState.DEAD and just_received:
-            # Whoever buried it is cut off from it, and we are not.
+        recently_received = now - entry.received_at < self.suspicion_seconds()
+        if update.state is MemberState.DEAD and recently_received:
+            # The VM that confirmed it dead is partitioned from it.
             offered = attrs.evolve(offered, state=MemberState.SUSPECT)
         self.merge(offered)
 
-    def refute(self, believed: Member) -> None:
-        """Start a new incarnation when others doubt us."""
+    def refute(self, reported: Member) -> None:
+        """Start a new incarnation if others suspect this VM."""
         own = self.local_member
-        doubted = believed.state not in {MemberState.ALIVE, own.state}
-        if believed.incarnation > own.incarnation or (
-            doubted and believed.incarnation == own.incarnation
+        is_suspected = reported.state not in {MemberState.ALIVE, own.state}
+        if reported.incarnation > own.incarnation or (
+            is_suspected and reported.incarnation == own.incarnation
         ):
             self.counters.add('suspicions_refuted')
-            self.announce(own.state, believed.incarnation + 1)
+            self.announce(own.state, reported.incarnation + 1)
 
     def announce(self, state: MemberState, incarnation: int) -> None:
-        """Tell a state of our own under a new incarnation."""
+        """Gossip a local state under a new incarnation."""
         own = attrs.evolve(
             self.local_member, state=state, incarnation=incarnation
         )
@@ -173,7 +173,7 @@
 
 
 def is_known_state(update: StateUpdate, member: Member) -> bool:
-    """Return True for a update that tells nothing new."""
+    """Return True for an update that changes nothing."""
     return (
         update.incarnation == member.incarnation
         and update.state is member.state
--- a/burdocksill/membership/broadcasts.py
+++ b/burdocksill/membership/broadcasts.py
@@ -1,4 +1,4 @@
-"""What gossip tells of members: changes first, then everybody in turn."""
+"""Selection of the gossiped member states: changes first, then all in turn."""
 
 import math
 import struct
@@ -15,19 +15,19 @@
 
 # tag, incarnation, rank of the state.
 STATE: Final = struct.Struct(f'>{TAG_BYTES}sIB')
-# Nine bytes each: a heartbeat stays small whatever the fleet's size.
+# Nine bytes each, so that a heartbeat stays small in a fleet of any size.
 STATES_PER_MESSAGE: Final = 8
-# A change is told this many times the logarithm of the members' number; the
-# chance that it misses one then falls with the members' number.
+# A change is sent this many times the logarithm of the number of members. The
+# probability that a member misses it then falls with their number.
 RETRANSMIT_FACTOR: Final = 3
-# Without news, one message in so many introduces somebody in full.
+# Without changes, one message in so many introduces a member in full.
 MESSAGES_PER_INTRODUCTION: Final = 4
 BY_RANK: Final = tuple(sorted(RANKS, key=lambda state: RANKS[state]))
 
 
 @attrs.frozen(kw_only=True)
 class StateUpdate:
-    """Hold a belief on a member that the receiver is expected to know."""
+    """Hold a state of a member that the receiver is expected to know."""
 
     tag: bytes
     incarnation: int
@@ -36,39 +36,41 @@
 
 @attrs.define(kw_only=True)
 class BroadcastQueue:
-    """Choose what the next message tells within its budget."""
+    """Select the member states of the next message within its budget."""
 
     table: MemberTable
-    # How often each member's news was told.
+    # How often each member's change was sent.
     change_counts: dict[bytes, int] = attrs.field(factory=dict)
     introduction_counts: dict[bytes, int] = attrs.field(factory=dict)
     rotation: list[bytes] = attrs.field(factory=list)
     messages: int = 0
 
     def add(self, tag: bytes, *, introduce: bool = False) -> None:
-        """Tell of a member's change from now on."""
+        """Queue a member's change."""
         self.change_counts[tag] = 0
         if introduce:
             self.introduction_counts[tag] = 0
 
     def limit(self) -> int:
-        """Return how often one change is told."""
+        """Return how often one change is sent."""
         return RETRANSMIT_FACTOR * math.ceil(
             math.log2(len(self.table.known) + 1)
         )
 
     def states(self, first: tuple[bytes, ...]) -> bytes:
-        """Pack the states that the next message tells."""
+        """Encode the states of the next message."""
         chosen = list(dict.fromkeys(first))
         chosen += self.least_sent(
             self.change_counts, STATES_PER_MESSAGE - len(chosen)
         )
         chosen += self.next_in_rotation(STATES_PER_MESSAGE - len(chosen))
-        entry = (self.table.find(tag) for tag in chosen)
-        return b''.join(pack(known.member) for known in entry if known)
+        entries = (self.table.find(tag) for tag in chosen)
+        return b''.join(
+            encode_state(entry.member) for entry in entries if entry
+        )
 
     def introduction(self) -> Member | None:
-        """Return a member to introduce in full: news, or now and then any."""
+        """Return a member to introduce: a changed one, or at times any."""
         self.messages += 1
         chosen = self.least_sent(self.introduction_counts, 1)
         if not chosen and self.messages % MESSAGES_PER_INTRODUCTION == 0:
@@ -76,17 +78,17 @@
         entry = self.table.find(chosen[0]) if chosen else None
         return entry.member if entry else None
 
-    def least_sent(self, told: dict[bytes, int], count: int) -> list[bytes]:
-        """Return the members whose news was told least, and count it."""
-        chosen = sorted(told, key=lambda tag: told[tag])[: max(0, count)]
+    def least_sent(self, counts: dict[bytes, int], count: int) -> list[bytes]:
+        """Return the members whose change was sent least, and count it."""
+        chosen = sorted(counts, key=lambda tag: counts[tag])[: max(0, count)]
         for tag in chosen:
-            told[tag] += 1
-            if told[tag] >= self.limit():
-                told.pop(tag)
+            counts[tag] += 1
+            if counts[tag] >= self.limit():
+                counts.pop(tag)
         return chosen
 
     def next_in_rotation(self, count: int) -> list[bytes]:
-        """Return the next members in turn: it heals what broadcasts missed."""
+        """Return the next members in turn, which repairs missed broadcasts."""
         chosen: list[bytes] = []
         for _ in range(count):
             if not self.rotation:
@@ -95,13 +97,13 @@
         return chosen
 
 
-def pack(member: Member) -> bytes:
-    """Pack a member's state."""
+def encode_state(member: Member) -> bytes:
+    """Encode a member's state."""
     return STATE.pack(member.tag, member.incarnation, RANKS[member.state])
 
 
-def unpack(states: bytes) -> Iterator[StateUpdate]:
-    """Read packed states; a newer version's unknown state is passed over."""
+def decode_states(states: bytes) -> Iterator[StateUpdate]:
+    """Decode states; skip states that only newer versions know."""
     whole = len(states) // STATE.size * STATE.size
     for tag, incarnation, rank in STATE.iter_unpack(states[:whole]):
         if rank < len(BY_RANK):
@@ -113,7 +115,7 @@
 
 
 def record_of(member: Member) -> MemberRecord:
-    """Write a member's introduction."""
+    """Return the introduction of a member."""
     return MemberRecord(
         name=member.name,
         domain=member.domain,
@@ -125,7 +127,7 @@
 
 
 def member_from(record: MemberRecord) -> Member:
-    """Read a member's introduction; an unknown state counts as alive."""
+    """Return the member of an introduction; an unknown state is alive."""
     known = record.state in set(MemberState)
     return Member(
         name=record.name,
--- a/burdocksill/membership/heartbeats.py
+++ b/burdocksill/membership/heartbeats.py
@@ -1,4 +1,4 @@
-"""Probes, their answers and the gossip that rides on them."""
+"""Probes, their acks and the gossip that they piggyback."""
 
 import itertools
 import math
@@ -8,8 +8,12 @@
 import attrs
 import trio
 
-from burdocksill.membership.broadcasts import member_from, record_of, unpack
-from burdocksill.membership.member_states import MemberStates
+from burdocksill.membership.beliefs import MemberStates
+from burdocksill.membership.broadcasts import (
+    decode_states,
+    member_from,
+    record_of,
+)
 from burdocksill.membership.piggyback import NoPiggyback, Piggyback
 from burdocksill.membership.protocols import Member
 from burdocksill.network.protocols import Address
@@ -28,7 +32,7 @@
 
 @attrs.define(kw_only=True)
 class Heartbeats:
-    """Send probes, answer them and read what they carry."""
+    """Send and answer probes, and handle the gossip that they carry."""
 
     member_states: MemberStates
     documents: Piggyback = attrs.field(factory=NoPiggyback)
@@ -39,14 +43,14 @@
     pending_probes: dict[int, trio.Event] = attrs.field(factory=dict)
 
     def attach(self, channel: PeerChannel) -> None:
-        """Take heartbeats from the channel."""
+        """Register the handlers of heartbeats at the channel."""
         self.channel = channel
         channel.handlers[Probe] = self.handle_probe
         channel.handlers[ProbeAck] = self.handle_ack
         channel.handlers[ProbeRequest] = self.handle_request
 
     def introductions(self, about: tuple[bytes, ...]) -> list[MemberRecord]:
-        """Introduce this VM where it is unknown, others where there is news."""
+        """Introduce this VM to new members, and changed members to others."""
         entry = self.member_states.table.find(about[0]) if about else None
         if entry is None or math.isinf(entry.received_at):
             return [record_of(self.member_states.local_member)]
@@ -54,7 +58,7 @@
         return [record_of(introduced)] if introduced else []
 
     def gossip(self, *about: bytes) -> Gossip:
-        """Write what the next heartbeat carries."""
+        """Return the gossip of the next heartbeat."""
         now = trio.current_time()
         first = (self.member_states.local_member.tag, *about)
         return Gossip(
@@ -66,12 +70,12 @@
         )
 
     def send_probe(self, target: Member, number: int) -> None:
-        """Send a probe that tells the target what is believed of it."""
+        """Send a probe that carries the target's own state too."""
         gossip = self.gossip(target.tag)
         self.send(Probe(number=number, gossip=gossip), target.peer_address)
 
     def send(self, message: object, peer: Address) -> None:
-        """Send a message once the channel is there."""
+        """Send a message if the channel is attached."""
         if self.channel is not None:
             self.channel.send(message, peer)
 
@@ -84,7 +88,7 @@
             self.send(ProbeAck(number=message.number, gossip=gossip), peer)
 
     def handle_ack(self, opened: VerifiedMessage, peer: Address) -> None:
-        """Match an answer with the probe that waits for it."""
+        """Match an ack with its pending probe."""
         message = opened.message
         if not isinstance(message, ProbeAck):
             return
@@ -97,7 +101,7 @@
             waiter.set()
 
     def handle_request(self, opened: VerifiedMessage, peer: Address) -> None:
-        """Probe a member for somebody who cannot reach it."""
+        """Probe a member on behalf of a peer that gets no answer."""
         message = opened.message
         if not isinstance(message, ProbeRequest) or self.nursery is None:
             return
@@ -116,7 +120,7 @@
         asked_number: int,
         requester: Address,
     ) -> None:
-        """Probe a member once and pass its answer on."""
+        """Probe a member once and forward its ack."""
         number, answered = self.register_probe()
         self.send_probe(target, number)
         with trio.move_on_after(DIRECT_TIMEOUT_SECONDS):
@@ -131,7 +135,7 @@
             self.send(ack, requester)
 
     def handle_gossip(self, gossip: Gossip, sender_tag: bytes) -> None:
-        """Read all that a heartbeat carried."""
+        """Handle the gossip of a heartbeat."""
         now = trio.current_time()
         for record in gossip.members:
             self.member_states.handle_introduction(member_from(record))
@@ -139,7 +143,7 @@
         if sender is None:
             return
         sender.received_at = now
-        for update in unpack(gossip.states):
+        for update in decode_states(gossip.states):
             self.member_states.handle_state(update, now)
         if sender.member.domain == self.member_states.local_member.domain:
             self.member_states.contacts.merge_ages(gossip.heard, now)
@@ -151,7 +155,7 @@
         self.hints.take(gossip.hints, sender.member)
 
     def register_probe(self) -> tuple[int, trio.Event]:
-        """Return a probe's number and what its answer sets."""
+        """Return the number of a new probe and the event that its ack sets."""
         number = next(self.numbers)
         answered = trio.Event()
         self.pending_probes[number] = answered
--- a/burdocksill/membership/hints.py
+++ b/burdocksill/membership/hints.py
@@ -1,4 +1,4 @@
-"""Carry owners' hints on heartbeats, a few at a time."""
+"""Piggyback owners' hints on heartbeats, a few at a time."""
 
 import struct
 from collections import OrderedDict
@@ -18,19 +18,19 @@
 # flags.
 HINT: Final = struct.Struct(f'>{TAG_BYTES}s{TAG_BYTES}s{TAG_BYTES}sBHHHB')
 HINTS_PER_MESSAGE: Final = 5
-OWN_PER_MESSAGE: Final = 3
+LOCAL_HINTS_PER_MESSAGE: Final = 3
 COLD: Final = 1
 LEAVING: Final = 2
-LARGEST: Final = 65535
+MAX_UINT16: Final = 65535
 AGE_STEP_SECONDS: Final = 0.1
-# An older hint says nothing that placement should still follow.
-OLDEST_STEPS: Final = 30
-KEPT: Final = 4096
+# Older hints are too old to be used by placement.
+MAX_AGE_STEPS: Final = 30
+MAX_STORED_HINTS: Final = 4096
 
 
 @attrs.frozen(kw_only=True)
 class HintKey:
-    """Name the upstream of a hint by tags."""
+    """Identify the owner and upstream of a hint by tags."""
 
     owner_tag: bytes
     service_tag: bytes
@@ -38,96 +38,102 @@
 
 
 @attrs.frozen(kw_only=True)
-class KeptHint:
-    """Hold a hint of another owner and when that owner wrote it."""
+class StoredHint:
+    """Hold a hint of another owner and the time of its creation."""
 
     hint: UpstreamHint
-    written_at: float
+    created_at: float
 
 
 @attrs.define(kw_only=True)
 class HintGossip:
-    """Tell the own hints in turn and pass others' on while they are fresh."""
+    """Send local hints in turn, and forward others until they expire."""
 
     members: MemberView
     store: DocumentStore
     clock: Callable[[], float]
     source: HintSource | None = None
     sink: HintSink | None = None
-    kept: OrderedDict[HintKey, KeptHint] = attrs.field(factory=OrderedDict)
-    turn: int = 0
+    stored: OrderedDict[HintKey, StoredHint] = attrs.field(factory=OrderedDict)
+    next_index: int = 0
     names: dict[bytes, str] = attrs.field(factory=dict)
-    learned: dict[str, ServiceDocument] = attrs.field(factory=dict)
-    stale: bool = True
+    mapped_documents: dict[str, ServiceDocument] = attrs.field(factory=dict)
+    names_outdated: bool = True
 
     def __attrs_post_init__(self) -> None:
-        """Notice when the documents change."""
-        self.store.listeners.append(self.mark_stale)
+        """Listen for changes of documents."""
+        self.store.listeners.append(self.mark_names_outdated)
 
-    def mark_stale(self) -> None:
-        """Learn names before the next hints are read."""
-        self.stale = True
+    def mark_names_outdated(self) -> None:
+        """Update the names before the next hints are decoded."""
+        self.names_outdated = True
 
-    def learn_names(self) -> None:
+    def map_names(self) -> None:
         """Map the tags of services and upstreams to their names.
 
-        Only documents that changed are read: with a hundred thousand
-        upstreams a walk through all of them takes a tenth of a second.
+        Only changed documents are read: iterating over a hundred thousand
+        upstreams takes a tenth of a second.
         """
-        self.stale = False
+        self.names_outdated = False
         for service, document in self.store.services.items():
-            if self.learned.get(service) is document:
+            if self.mapped_documents.get(service) is document:
                 continue
-            self.learned[service] = document
+            self.mapped_documents[service] = document
             self.names[name_tag(service)] = service
             for upstream in document.upstreams:
                 self.names[name_tag(upstream.name)] = upstream.name
 
     def pack(self) -> bytes:
-        """Return the hints of the next heartbeat."""
+        """Encode the hints of the next heartbeat."""
         now = self.clock()
-        own = self.next_own()
+        own = self.next_local_hints()
         parts = [
-            self.pack_one(self.members.local_member.tag, hint, 0)
+            self.encode_hint(self.members.local_member.tag, hint, 0)
             for hint in own
         ]
-        for _ in range(min(HINTS_PER_MESSAGE - len(parts), len(self.kept))):
-            key, kept = self.kept.popitem(last=False)
-            steps = age_steps(now - kept.written_at)
-            if steps < OLDEST_STEPS:
-                self.kept[key] = kept
-                parts.append(self.pack_one(key.owner_tag, kept.hint, steps))
+        for _ in range(min(HINTS_PER_MESSAGE - len(parts), len(self.stored))):
+            key, stored = self.stored.popitem(last=False)
+            steps = age_steps(now - stored.created_at)
+            if steps < MAX_AGE_STEPS:
+                self.stored[key] = stored
+                parts.append(
+                    self.encode_hint(key.owner_tag, stored.hint, steps)
+                )
         return b''.join(parts)
 
-    def next_own(self) -> list[UpstreamHint]:
-        """Return the next of our own hints, each in turn."""
+    def next_local_hints(self) -> list[UpstreamHint]:
+        """Return the next local hints, each in turn."""
         own = self.source.hints() if self.source else ()
         if not own:
             return []
-        count = min(OWN_PER_MESSAGE, len(own))
-        chosen = [own[(self.turn + step) % len(own)] for step in range(count)]
-        self.turn = (self.turn + count) % len(own)
+        count = min(LOCAL_HINTS_PER_MESSAGE, len(own))
+        chosen = [
+            own[(self.next_index + step) % len(own)] for step in range(count)
+        ]
+        self.next_index = (self.next_index + count) % len(own)
         return chosen
 
-    def pack_one(self, owner: bytes, hint: UpstreamHint, steps: int) -> bytes:
-        """Pack one hint."""
+    def encode_hint(
+        self, owner: bytes, hint: UpstreamHint, steps: int
+    ) -> bytes:
+        """Encode one hint."""
         flags = COLD * hint.cold + LEAVING * hint.leaving
         return HINT.pack(
             owner,
             name_tag(hint.service),
             name_tag(hint.upstream),
             steps,
-            min(max(hint.free_slots, 0), LARGEST),
-            min(hint.slots, LARGEST),
-            min(hint.flows, LARGEST),
+            min(max(hint.free_slots, 0), MAX_UINT16),
+            min(hint.slots, MAX_UINT16),
+            min(hint.flows, MAX_UINT16),
             flags,
         )
 
     def take(self, packed: bytes, sender: Member) -> None:
-        """Read hints and hand the fresh ones to the sink."""
+        """Decode hints and pass new ones to the sink."""
         now = self.clock()
-        if self.stale:
-            self.learn_names()
+        if self.names_outdated:
+            self.map_names()
         whole = len(packed) // HINT.size * HINT.size
         for fields in HINT.iter_unpack(packed[:whole]):
             key = HintKey(
@@ -135,11 +141,11 @@
                 service_tag=fields[1],
                 upstream_tag=fields[2],
             )
-            hint = self.read_hint(key, *fields[4:])
+            hint = self.make_hint(key, *fields[4:])
             if hint is not None:
                 self.keep(key, hint, now - fields[3] * AGE_STEP_SECONDS)
 
-    def read_hint(
+    def make_hint(
         self,
         key: HintKey,
         free: int,
@@ -147,7 +153,7 @@
         flows: int,
         flags: int,
     ) -> UpstreamHint | None:
-        """Read one hint, None when the documents do not name its upstream."""
+        """Return a hint, None if no document contains its upstream."""
         service = self.names.get(key.service_tag)
         upstream = self.names.get(key.upstream_tag)
         if service is None or upstream is None:
@@ -162,22 +168,22 @@
             flows=flows,
         )
 
-    def keep(self, key: HintKey, hint: UpstreamHint, written_at: float) -> None:
-        """Keep a hint that is newer than ours and tell the sink."""
+    def keep(self, key: HintKey, hint: UpstreamHint, created_at: float) -> None:
+        """Store a hint that is newer than the stored one; notify the sink."""
         own = key.owner_tag == self.members.local_member.tag
-        known = self.kept.get(key)
-        if own or (known is not None and known.written_at >= written_at):
+        known = self.stored.get(key)
+        if own or (known is not None and known.created_at >= created_at):
             return
         owner = self.members.find(key.owner_tag)
         if owner is None:
             return
-        self.kept[key] = KeptHint(hint=hint, written_at=written_at)
-        if len(self.kept) > KEPT:
-            self.kept.popitem(last=False)
+        self.stored[key] = StoredHint(hint=hint, created_at=created_at)
+        if len(self.stored) > MAX_STORED_HINTS:
+            self.stored.popitem(last=False)
         if self.sink is not None:
             self.sink.store_hints(owner.name, (hint,))
 
 
 def age_steps(seconds: float) -> int:
-    """Return an age in steps, rounded up so that passing on never renews."""
-    return min(OLDEST_STEPS, int(seconds / AGE_STEP_SECONDS) + 1)
+    """Return an age in steps, rounded up so that forwarding never renews it."""
+    return min(MAX_AGE_STEPS, int(seconds / AGE_STEP_SECONDS) + 1)
--- a/burdocksill/membership/listed.py
+++ b/burdocksill/membership/listed.py
@@ -1,4 +1,4 @@
-"""Membership by the platform's lagging list alone: the first baseline."""
+"""Membership by the platform's lagging list alone, as a baseline."""
 
 import logging
 from collections.abc import Callable, Mapping
@@ -27,7 +27,7 @@
 
 @attrs.define(kw_only=True)
 class ListedMembership:
-    """Believe the platform's list."""
+    """Use the platform's list as the members."""
 
     local_member: Member
     platform: Platform
@@ -56,24 +56,24 @@
         return self.members.get(tag) or self.left.get(tag)
 
     def quorate(self) -> bool:
-        """Return True: the list cannot tell."""
+        """Return True, as the list says nothing about a quorum."""
         return True
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Call a listener after every change of members."""
+        """Call a listener after each change of members."""
         self.listeners.append(listener)
 
     async def leave(self) -> None:
-        """Wait for nothing: the platform itself lists who leaves."""
+        """Do nothing: the platform lists leaving VMs."""
 
     async def run(self) -> None:
-        """Read the list again and again."""
+        """Poll the list until cancelled."""
         while True:
             await self.refresh()
             await trio.sleep(POLL_SECONDS)
 
     async def refresh(self) -> None:
-        """Read the list once; keep the old one when the platform is down."""
+        """Read the list once; keep the old one if the platform fails."""
         try:
             records = await self.platform.list_vms()
         except BurdocksillError:
@@ -81,7 +81,7 @@
         self.take(records)
 
     def take(self, records: tuple[VmRecord, ...]) -> None:
-        """Replace the members by a list's live entry VMs."""
+        """Replace the members by the live entry VMs of a list."""
         listed = [
             member_of(record)
             for record in records
@@ -102,7 +102,7 @@
 
 
 def member_of(record: VmRecord) -> Member:
-    """Read a member from the platform's record."""
+    """Return the member of a platform record."""
     return Member(
         name=record.name,
         domain=record.domain,
--- a/burdocksill/membership/piggyback.py
+++ b/burdocksill/membership/piggyback.py
@@ -1,4 +1,4 @@
-"""What other slices let heartbeats carry."""
+"""Interface of payloads that heartbeats piggyback."""
 
 from typing import Protocol
 
@@ -6,21 +6,21 @@
 
 
 class Piggyback(Protocol):
-    """Write a few bytes for each heartbeat and read what others wrote."""
+    """Encode a payload for each heartbeat, and handle received ones."""
 
     def pack(self) -> bytes:
-        """Return what the next heartbeat carries, within a fixed budget."""
+        """Return the payload of the next heartbeat, of a bounded size."""
 
     def take(self, packed: bytes, sender: Member) -> None:
-        """Read what a member's heartbeat carried."""
+        """Handle the payload of a member's heartbeat."""
 
 
 class NoPiggyback:
-    """Carry nothing."""
+    """Piggyback nothing."""
 
     def pack(self) -> bytes:
-        """Return nothing."""
+        """Return an empty payload."""
         return b''
 
     def take(self, packed: bytes, sender: Member) -> None:
-        """Pass over what a member sent."""
+        """Ignore a payload."""
--- a/burdocksill/membership/protocols.py
+++ b/burdocksill/membership/protocols.py
@@ -1,4 +1,4 @@
-"""What the other slices need to know of the fleet's members."""
+"""Members of the fleet, as other packages see them."""
 
 import enum
 from collections.abc import Callable
@@ -10,13 +10,13 @@
 from burdocksill.flows.cookie import name_tag
 from burdocksill.network.protocols import Address
 
-# Above the fleet's size; each heartbeat asks for a few dozen tags.
+# Larger than the fleet; each heartbeat looks up a few dozen tags.
 TAGS_KEPT: Final = 65536
 cached_tag = lru_cache(maxsize=TAGS_KEPT)(name_tag)
 
 
 class MemberState(enum.StrEnum):
-    """Name what is believed of an entry VM."""
+    """State of an entry VM."""
 
     ALIVE = 'alive'
     SUSPECT = 'suspect'
@@ -26,7 +26,7 @@
 
 @attrs.frozen(kw_only=True)
 class Member:
-    """Describe one entry VM; a changed belief on it is the same member."""
+    """Describe an entry VM; incarnation and state don't affect equality."""
 
     name: str
     domain: str
@@ -41,11 +41,11 @@
 
 
 class MemberView(Protocol):
-    """Tell which entry VMs are alive, as far as this VM knows."""
+    """Provide the members as this VM knows them."""
 
     @property
     def local_member(self) -> Member:
-        """Return this VM."""
+        """Return the member of this VM."""
 
     def live(self, domain: str) -> tuple[Member, ...]:
         """Return the members that may own upstreams, sorted by name.
@@ -60,7 +60,7 @@
         """Return a member that packets can be relayed to, leaving included."""
 
     def quorate(self) -> bool:
-        """Return True while this VM hears a majority of its domain."""
+        """Return True while a majority of the domain answers this VM."""
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Call a listener after every change of members."""
+        """Call a listener after each change of members."""
--- a/burdocksill/membership/rotation.py
+++ b/burdocksill/membership/rotation.py
@@ -1,17 +1,17 @@
-"""Which member is probed next."""
+"""Order in which members are probed."""
 
 from random import Random
 
 import attrs
 
-from burdocksill.membership.member_states import DEAD_PROBE_SECONDS
+from burdocksill.membership.beliefs import DEAD_PROBE_SECONDS
 from burdocksill.membership.protocols import Member, MemberState
 from burdocksill.membership.table import MemberEntry, MemberTable
 
 
 @attrs.define(kw_only=True)
 class ProbeRotation:
-    """Probe each member of the own domain once in a shuffled round."""
+    """Select each member of the own domain once in a shuffled round."""
 
     table: MemberTable
     rng: Random
@@ -38,10 +38,10 @@
         return self.rng.sample(found, len(found))
 
     def is_probed(self, entry: MemberEntry, now: float) -> bool:
-        """Return True for the others, and for the dead for a while.
+        """Return True for other members, also for recently dead ones.
 
-        A VM that is cut off from all others must not take their silence for
-        a smaller domain at once: they stay in its quorum's count.
+        A VM that is partitioned from all others must not conclude at once that
+        its domain has shrunk: they stay in the count of its quorum.
         """
         if entry.member.tag == self.table.local_member.tag:
             return False
--- a/burdocksill/membership/swim.py
+++ b/burdocksill/membership/swim.py
@@ -1,4 +1,4 @@
-"""Membership by heartbeats inside a failure domain (after SWIM)."""
+"""Membership inside a failure domain by the SWIM protocol."""
 
 import math
 from collections.abc import Awaitable, Callable
@@ -9,9 +9,9 @@
 import trio
 
 from burdocksill.exceptions import BurdocksillError
+from burdocksill.membership.beliefs import MemberStates
 from burdocksill.membership.contacts import CONTACT_SECONDS
 from burdocksill.membership.heartbeats import DIRECT_TIMEOUT_SECONDS, Heartbeats
-from burdocksill.membership.member_states import MemberStates
 from burdocksill.membership.protocols import Member, MemberState
 from burdocksill.membership.quorum import Quorum
 from burdocksill.membership.rotation import ProbeRotation
@@ -25,7 +25,7 @@
 INDIRECT_TIMEOUT_SECONDS: Final = 0.3
 INDIRECT_PROBES: Final = 3
 RETRY_DEAD_SECONDS: Final = 2.0
-# A tick that comes this late means that the process stood still.
+# A longer gap between ticks means that the event loop was paused.
 MAX_TICK_GAP_SECONDS: Final = 1.5
 LIST_SECONDS: Final = 10.0
 MAX_INITIAL_PROBES: Final = 16
@@ -34,16 +34,16 @@
 
 @attrs.define(kw_only=True)
 class SwimMembership:
-    """Probe one member a period; gossip rides on probes and their answers."""
+    """Probe one member a period; probes and acks piggyback gossip."""
 
     initial_member: Member
     platform: Platform
     clock: WallClock
     rng: Random
     counters: Counters
-    # Waits until the next tick; the lab's paused hosts wait longer.
+    # Sleeps until the next tick; longer on paused hosts of the lab.
     sleep: Callable[[float], Awaitable[None]] = trio.sleep
-    # Tells whether this VM is one of the few that read the platform's list.
+    # Tells whether this VM is one of the few that poll the platform's list.
     should_read_list: Callable[[], bool] = lambda: True
     table: MemberTable = attrs.field(init=False)
     member_states: MemberStates = attrs.field(init=False)
@@ -72,7 +72,7 @@
 
     @property
     def local_member(self) -> Member:
-        """Return this VM."""
+        """Return the member of this VM."""
         return self.table.local_member
 
     def live(self, domain: str) -> tuple[Member, ...]:
@@ -102,15 +102,15 @@
         return entry.member
 
     def quorate(self) -> bool:
-        """Return True while this VM hears a majority of its domain."""
+        """Return True while a majority of the domain answers this VM."""
         return self.quorum.is_quorate(trio.current_time(), self.clock.now())
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Call a listener after every change of members."""
+        """Call a listener after each change of members."""
         self.table.listeners.append(listener)
 
     async def refresh(self) -> None:
-        """Read the platform's list once; it may only introduce members."""
+        """Read the platform's list once; it can only add members."""
         try:
             records = await self.platform.list_vms()
         except BurdocksillError:
@@ -119,10 +119,10 @@
         self.member_states.apply_list(records)
 
     async def bootstrap(self, seeds: tuple[Address, ...] = ()) -> None:
-        """Ask listed members for a sign of life before serving.
+        """Probe listed members before serving.
 
-        Without this a VM that starts from a stale list would send its first
-        flows to owners that are long gone.
+        Otherwise a VM that starts from a stale list would send its first flows
+        to owners that no longer exist.
         """
         await self.refresh()
         for seed in seeds:
@@ -133,17 +133,17 @@
             for entry in self.table.of_domain(self.local_member.domain)
             if entry.member.tag != self.local_member.tag
         ]
-        asked = self.rng.sample(peers, min(MAX_INITIAL_PROBES, len(peers)))
-        for entry in asked:
+        probed = self.rng.sample(peers, min(MAX_INITIAL_PROBES, len(peers)))
+        for entry in probed:
             self.heartbeats.send_probe(entry.member, 0)
-        if asked or seeds:
+        if probed or seeds:
             await trio.sleep(DIRECT_TIMEOUT_SECONDS + INDIRECT_TIMEOUT_SECONDS)
-        for entry in asked:
+        for entry in probed:
             if entry.received_at < entry.since:
                 self.suspect(entry)
 
     async def run(self) -> None:
-        """Probe, tell and judge until cancelled."""
+        """Run the protocol periods until cancelled."""
         async with trio.open_nursery() as nursery:
             self.heartbeats.nursery = nursery
             nursery.start_soon(self.read_list)
@@ -152,14 +152,14 @@
                 await self.sleep(PERIOD_SECONDS * self.rng.uniform(0.9, 1.1))
 
     async def read_list(self) -> None:
-        """Read the platform's list now and then, on the few VMs that do."""
+        """Poll the platform's list on the few VMs that do."""
         while True:
             await trio.sleep(LIST_SECONDS * self.rng.uniform(0.9, 1.1))
             if self.should_read_list():
                 await self.refresh()
 
     def tick(self) -> None:
-        """Do one period's work."""
+        """Run one protocol period."""
         now = trio.current_time()
         if self.quorum.record_tick(now, self.clock.now()):
             self.member_states.restart_suspicions(now)
@@ -171,13 +171,13 @@
         self.retry_dead(now)
 
     def start_probe(self, target: Member) -> None:
-        """Probe a member in a task of its own."""
+        """Probe a member in a new task."""
         if self.heartbeats.nursery is not None:
             self.quorum.record_probe(target.tag, trio.current_time())
             self.heartbeats.nursery.start_soon(self.probe, target)
 
     async def probe(self, target: Member) -> None:
-        """Ask a member, then ask through helpers, then suspect it."""
+        """Probe a member directly, then indirectly, then suspect it."""
         started = trio.current_time()
         number, answered = self.heartbeats.register_probe()
         self.heartbeats.send_probe(target, number)
@@ -190,33 +190,33 @@
                 await answered.wait()
         self.heartbeats.pending_probes.pop(number)
         entry = self.table.find(target.tag)
-        late = trio.current_time() - started > MAX_TICK_GAP_SECONDS
-        # After a pause of our own the answer may lie unread in the socket.
-        if answered.is_set() or late or entry is None:
+        was_paused = trio.current_time() - started > MAX_TICK_GAP_SECONDS
+        # After a pause of this VM the answer may still be in the socket.
+        if answered.is_set() or was_paused or entry is None:
             return
         if entry.received_at < started:
             self.suspect(entry)
 
     def request_indirect_probes(self, target: Member, number: int) -> None:
-        """Ask a few members to probe one that does not answer us."""
-        others = [
+        """Ask a few members to probe one that does not answer."""
+        candidates = [
             member
             for member in self.table.live(self.local_member.domain)
             if member.tag not in {target.tag, self.local_member.tag}
         ]
         for helper in self.rng.sample(
-            others, min(INDIRECT_PROBES, len(others))
+            candidates, min(INDIRECT_PROBES, len(candidates))
         ):
             request = ProbeRequest(number=number, target=target.tag)
             self.heartbeats.send(request, helper.peer_address)
 
     def suspect(self, entry: MemberEntry) -> None:
-        """Doubt a member and tell everybody, itself first of all."""
+        """Suspect a member, and probe it so that it can refute at once."""
         self.member_states.suspect(entry)
         self.heartbeats.send_probe(entry.member, 0)
 
     def probe_other_domain(self, now: float) -> None:
-        """Ask one member of another domain, on the few VMs that do."""
+        """Probe a member of another domain, if this VM is a contact."""
         if now - self.contacted_at < CONTACT_SECONDS:
             return
         domain = self.member_states.contacts.next_domain()
@@ -228,10 +228,10 @@
             self.heartbeats.send_probe(self.rng.choice(members), 0)
 
     def retry_dead(self, now: float) -> None:
-        """Ask one dead member now and then: a cut between us may have healed.
+        """Probe a dead member at times, as a partition may have healed.
 
-        Both sides of a cut believe the other dead and would never speak
-        again; the one that answers learns of its death and refutes it.
+        Both sides of a partition believe the other dead and would not probe
+        it again. A member that answers learns its state and refutes it.
         """
         if now - self.retried_at < RETRY_DEAD_SECONDS:
             return
@@ -245,7 +245,7 @@
             self.heartbeats.send_probe(self.rng.choice(dead), 0)
 
     async def leave(self) -> None:
-        """Tell the others that this VM takes no new work from now on."""
+        """Announce that this VM takes no new work from now on."""
         self.member_states.announce(
             MemberState.LEAVING, self.local_member.incarnation + 1
         )
--- a/burdocksill/membership/table.py
+++ b/burdocksill/membership/table.py
@@ -1,4 +1,4 @@
-"""What this VM believes of every member, and which belief supersedes."""
+"""Table of member states, and the rule which of two states supersedes."""
 
 import logging
 import math
@@ -11,8 +11,8 @@
 
 from burdocksill.membership.protocols import Member, MemberState
 
-# Of two member_states with the same incarnation the higher rank supersedes;
-# only the member itself starts a new incarnation.
+# Of two states with the same incarnation the higher rank supersedes. Only the
+# member itself starts a new incarnation.
 RANKS: Final[Mapping[MemberState, int]] = MappingProxyType(
     {
         MemberState.ALIVE: 0,
@@ -29,33 +29,33 @@
 
 @attrs.define(kw_only=True)
 class MemberEntry:
-    """Hold the belief on one member and when we heard it ourselves."""
+    """Hold a member's state and the time of its last message to this VM."""
 
     member: Member
     since: float
     received_at: float = -math.inf
-    # It announced its leave, and nothing else was heard of it since.
+    # It announced its leave and has been leaving or dead since.
     left: bool = False
 
     @property
     def state(self) -> MemberState:
-        """Return what is believed of the member."""
+        """Return the member's state."""
         return self.member.state
 
 
 @attrs.define(kw_only=True)
 class MemberTable:
-    """Merge member_states and tell listeners when the members change."""
+    """Merge member states and notify listeners of changes."""
 
     local_member: Member
     known: dict[bytes, MemberEntry] = attrs.field(factory=dict)
     listeners: list[Callable[[], None]] = attrs.field(factory=list)
     owner_cache: dict[str, tuple[Member, ...]] = attrs.field(factory=dict)
-    # Suspect and dead members, so that no tick looks at the whole fleet.
+    # Suspect and dead members, so that no tick walks through the whole fleet.
     unhealthy: set[bytes] = attrs.field(factory=set)
 
     def __attrs_post_init__(self) -> None:
-        """Know this VM itself."""
+        """Add the local member."""
         self.known[self.local_member.tag] = MemberEntry(
             member=self.local_member,
             since=-math.inf,
@@ -63,11 +63,11 @@
         )
 
     def find(self, tag: bytes) -> MemberEntry | None:
-        """Return what is known of a member."""
+        """Return the entry of a member."""
         return self.known.get(tag)
 
     def merge(self, offered: Member) -> bool:
-        """Take a belief if it supersedes over ours."""
+        """Store an offered state if it supersedes the current one."""
         entry = self.known.get(offered.tag)
         if entry is not None and not supersedes(offered, entry.member):
             return False
@@ -75,7 +75,7 @@
         return True
 
     def put(self, member: Member) -> None:
-        """Believe this of a member, and tell who owns upstreams with it."""
+        """Store a member's state, and notify listeners of a visible change."""
         now = trio.current_time()
         entry = self.known.get(member.tag)
         if member.state in UNHEALTHY_STATES:
@@ -90,7 +90,7 @@
         entry.member = member
         self.owner_cache.pop(member.domain, None)
         if before != member:
-            # The name has a new VM, which we have not heard yet.
+            # A new VM under this name, from which nothing was received yet.
             entry.received_at = -math.inf
         if before.state is not member.state:
             entry.since = now
@@ -105,7 +105,7 @@
             self.notify_change(member, before.state.value)
 
     def notify_change(self, member: Member, before: str) -> None:
-        """Forget what was derived and tell the listeners."""
+        """Drop the cached owners, log the change and notify listeners."""
         self.owner_cache.pop(member.domain, None)
         logger.info(
             'member changed',
@@ -119,17 +119,17 @@
             listener()
 
     def remove(self, tag: bytes) -> None:
-        """Drop a member for good."""
+        """Remove a member."""
         entry = self.known.pop(tag)
         self.unhealthy.discard(tag)
         self.owner_cache.pop(entry.member.domain, None)
 
     def unhealthy_entries(self) -> list[MemberEntry]:
-        """Return the suspect and dead members, in a steady order."""
+        """Return the suspect and dead members in a stable order."""
         return [self.known[tag] for tag in sorted(self.unhealthy)]
 
     def of_domain(self, domain: str) -> list[MemberEntry]:
-        """Return all that is known of a domain's members, sorted by name."""
+        """Return the entries of a domain's members, sorted by name."""
         found = [
             entry
             for entry in self.known.values()
@@ -155,7 +155,7 @@
 
 
 def supersedes(offered: Member, current: Member) -> bool:
-    """Compare two member_states by incarnation, then by state."""
+    """Compare two states by incarnation, then by rank."""
     return (offered.incarnation, RANKS[offered.state]) > (
         current.incarnation,
         RANKS[current.state],
@@ -163,5 +163,5 @@
 
 
 def reported_state(member: Member) -> MemberState:
-    """Return the state as the other slices see it."""
+    """Return the state as other packages see it."""
     return MemberState.ALIVE if member.state in OWNER_STATES else member.state
