--- a/burdocksill/peers/channel.py
+++ b/burdocksill/peers/channel.py
@@ -1,4 +1,4 @@
-"""One socket to all other entry VMs."""
+"""Channel to all other entry VMs over one datagram socket."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -19,12 +19,12 @@
 
 
 def ignore_unknown_key() -> None:
-    """Do nothing about a datagram under an unknown key."""
+    """Ignore a datagram under an unknown key."""
 
 
 @attrs.define(kw_only=True)
 class PeerChannel:
-    """Send sealed messages and hand received ones to their handler."""
+    """Send sealed messages and dispatch received ones to handlers."""
 
     socket: DatagramSocket
     sealer: EnvelopeSealer
@@ -34,11 +34,11 @@
             factory=dict,
         )
     )
-    # Told of a datagram under a key that this VM lacks: it may be a new one.
+    # Called for a datagram under an unknown key, which may be a new one.
     on_unknown_key: Callable[[], None] = ignore_unknown_key
 
     def send(self, message: object, peer: Address) -> bool:
-        """Send one message; a lost one is repeated by whoever needs it."""
+        """Send one message; callers repeat a lost one if they need it."""
         sealed = self.sealer.seal(message)
         self.counters.add('peer_bytes_sent', len(sealed))
         return self.socket.send(sealed, peer)
@@ -50,23 +50,23 @@
                 self.counters.add('peer_bytes_received', len(datagram.payload))
                 self.dispatch(datagram.payload, datagram.peer)
 
-    def refuse(self, error: PeerDatagramError) -> None:
-        """Count a refused datagram by its reason."""
+    def count_refused(self, error: PeerDatagramError) -> None:
+        """Count a rejected datagram by its reason."""
         self.counters.add('peer_refused', reason=error.reason.value)
         if error.reason is RefusedReason.UNKNOWN_KEY:
             self.on_unknown_key()
 
     def dispatch(self, payload: bytes, peer: Address) -> None:
-        """Open one datagram and call the handler of its kind."""
+        """Verify one datagram and call the handler of its message."""
         try:
             opened = self.sealer.open(payload)
         except ReplayedDatagramError as error:
-            self.refuse(error)
+            self.count_refused(error)
             if error.floor:
                 self.send(SequenceFloor(floor=error.floor), peer)
             return
         except PeerDatagramError as error:
-            self.refuse(error)
+            self.count_refused(error)
             return
         if isinstance(opened.message, SequenceFloor):
             self.sealer.raise_sequence(opened.message.floor)
--- a/burdocksill/peers/envelope.py
+++ b/burdocksill/peers/envelope.py
@@ -1,4 +1,4 @@
-"""The authenticated envelope of datagrams between entry VMs."""
+"""Authenticated envelope of datagrams between entry VMs."""
 
 import hashlib
 import hmac
@@ -22,7 +22,7 @@
 # version, key id, kind, sender tag, send time in microseconds, sequence.
 HEADER: Final = struct.Struct('>BBB4sQQ')
 VERSION: Final = 2
-# A sequence starts at the second of the process's start, above its low bits.
+# A sequence starts at the time of its process's start, shifted by these bits.
 SEQUENCE_BITS: Final = 32
 MAC_BYTES: Final = 16
 MICROSECONDS: Final = 1_000_000
@@ -30,7 +30,7 @@
 
 @attrs.frozen(kw_only=True)
 class VerifiedMessage:
-    """Hold a message whose sender was authenticated."""
+    """Hold a message of an authenticated sender."""
 
     sender_tag: bytes
     sent_at: float
@@ -39,7 +39,7 @@
 
 @attrs.define(kw_only=True)
 class EnvelopeSealer:
-    """Seal and open the datagrams of one VM."""
+    """Sign and verify the datagrams of one VM."""
 
     sender: str
     keys: KeyHolder
@@ -51,11 +51,11 @@
     encoder: msgspec.msgpack.Encoder = attrs.field(
         factory=msgspec.msgpack.Encoder,
     )
-    replays: ReplayGuard = attrs.field(factory=ReplayGuard)
+    replay_guard: ReplayGuard = attrs.field(factory=ReplayGuard)
     sequence: int = 0
 
     def __attrs_post_init__(self) -> None:
-        """Prepare one decoder for each kind."""
+        """Create one decoder for each kind."""
         self.kinds = {kind: number for number, kind in MESSAGE_KINDS.items()}
         self.decoders = {
             number: msgspec.msgpack.Decoder(kind)
@@ -63,10 +63,10 @@
         }
 
     def next_sequence(self) -> int:
-        """Return a number above all that this process has used.
+        """Return the next sequence number.
 
-        It starts from the clock, so that a restarted process goes on above
-        the numbers of the one before it.
+        Numbers start from the clock, so that a restarted process continues
+        above those of the previous one.
         """
         if not self.sequence:
             self.sequence = int(self.clock.now()) << SEQUENCE_BITS
@@ -74,15 +74,15 @@
         return self.sequence
 
     def raise_sequence(self, floor: int) -> None:
-        """Go on above what a peer has seen of an earlier process.
+        """Continue above the numbers that a peer has seen.
 
-        A clock that was set back before a restart makes our numbers look
-        replayed; a peer that refuses them says so, signed, and this cures it.
+        After a restart with a clock that was set back, new numbers look
+        replayed. A peer that rejects them answers with a signed floor.
         """
         self.sequence = max(self.sequence, floor)
 
     def seal(self, message: object) -> bytes:
-        """Write and sign one message."""
+        """Encode and sign one message."""
         key = self.keys.require().signing
         header = HEADER.pack(
             VERSION,
@@ -96,8 +96,8 @@
         return body + sign(key.secret_bytes, body)
 
     def open(self, payload: bytes) -> VerifiedMessage:
-        """Check and read one datagram; raise PeerDatagramError."""
-        body = self.checked_body(payload)
+        """Verify and decode one datagram; raise PeerDatagramError."""
+        body = self.verify_body(payload)
         kind, sender, sent, sequence = HEADER.unpack_from(body)[2:]
         decoder = self.decoders.get(kind)
         if decoder is None:
@@ -112,10 +112,10 @@
                 message=str(error),
                 reason=RefusedReason.UNREADABLE,
             ) from error
-        if not self.replays.accept(sender, sequence):
+        if not self.replay_guard.accept(sender, sequence):
             raise ReplayedDatagramError(
-                message=f'sequence {sequence} was seen or is too old',
-                floor=self.replays.floor(sender, sequence),
+                message=f'sequence {sequence} is replayed or too old',
+                floor=self.replay_guard.floor(sender, sequence),
             )
         return VerifiedMessage(
             sender_tag=sender[:TAG_BYTES],
@@ -123,11 +123,11 @@
             message=message,
         )
 
-    def checked_body(self, payload: bytes) -> bytes:
-        """Return what a fleet key has signed; raise PeerDatagramError."""
+    def verify_body(self, payload: bytes) -> bytes:
+        """Return the body of a valid signature; raise PeerDatagramError."""
         if len(payload) < HEADER.size + MAC_BYTES:
             raise PeerDatagramError(
-                message=f'{len(payload)} bytes are too few',
+                message=f'{len(payload)} bytes are too short for an envelope',
                 reason=RefusedReason.SHORT,
             )
         body, mac = payload[:-MAC_BYTES], payload[-MAC_BYTES:]
@@ -145,14 +145,14 @@
             )
         if not hmac.compare_digest(mac, sign(key.secret_bytes, body)):
             raise PeerDatagramError(
-                message='the signature does not fit',
+                message='the signature does not match',
                 reason=RefusedReason.SIGNATURE,
             )
         return body
 
 
 def sign(secret: bytes, body: bytes) -> bytes:
-    """Return the keyed hash of a datagram."""
+    """Return the keyed hash of a datagram's body."""
     digest = hashlib.blake2b(
         body,
         key=secret,
--- a/burdocksill/peers/exceptions.py
+++ b/burdocksill/peers/exceptions.py
@@ -6,7 +6,7 @@
 
 
 class RefusedReason(enum.StrEnum):
-    """Name why a peer's datagram was refused."""
+    """Reason for which a peer's datagram was rejected."""
 
     SHORT = 'short'
     VERSION = 'version'
@@ -18,22 +18,22 @@
 
 
 class PeerDatagramError(BurdocksillError):
-    """Say that a datagram is forged, foreign, replayed or unreadable."""
+    """Say that a datagram is not authentic, replayed or invalid."""
 
     code = 'burdocksill.E501'
 
     def __init__(self, *, message: str, reason: RefusedReason) -> None:
-        """Store the message and the reason that is counted."""
+        """Store the message and the reason, by which it is counted."""
         super().__init__(message=message)
         self.reason = reason
 
 
 class ReplayedDatagramError(PeerDatagramError):
-    """Say that a sequence number was seen before or is too old."""
+    """Say that a sequence number is replayed or too old."""
 
     code = 'burdocksill.E502'
 
     def __init__(self, *, message: str, floor: int) -> None:
-        """Store where the sender has to go on, 0 for a plain copy."""
+        """Store the floor for the sender's sequence, 0 for a duplicate."""
         super().__init__(message=message, reason=RefusedReason.REPLAYED)
         self.floor = floor
--- a/burdocksill/peers/messages.py
+++ b/burdocksill/peers/messages.py
@@ -1,4 +1,4 @@
-"""Messages between entry VMs; each slice adds its own to the catalog."""
+"""Messages between entry VMs, with their kind numbers on the wire."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -18,10 +18,10 @@
 
 @attrs.frozen(kw_only=True)
 class RelayRequest:
-    """Pass a caller's datagram on to the VM that owns its upstream.
+    """Relay a caller's datagram to the VM that owns its upstream.
 
-    `upstream` is set for a new flow only: the owner has the last word on it.
-    `refused` says that the holder of the request's epoch refused it.
+    `upstream` is set for a new flow only; the owner decides whether to use it.
+    `refused` tells that the holder of the request's epoch refused it.
     """
 
     raw: bytes
@@ -30,7 +30,7 @@
     hops: tuple[str, ...] = ()
     upstream: str = ''
     refused: bool = False
-    # W3C Trace Context of the hop before, empty when it is not traced.
+    # W3C Trace Context of the previous hop; empty if it is not traced.
     traceparent: str = ''
 
 
@@ -48,11 +48,10 @@
 
 @attrs.frozen(kw_only=True)
 class Gossip:
-    """Hold what rides on heartbeats, each part within its own budget.
+    """Hold the payloads that heartbeats piggyback, each of a bounded size.
 
-    The packed parts are written and read by the slices that own them: states
-    and heard domains by membership, hints by upstreams' hints, the digest by
-    documents.
+    Membership encodes states and ages of heard domains, and hints; documents
+    encode the digest.
     """
 
     members: tuple[MemberRecord, ...] = ()
@@ -64,7 +63,7 @@
 
 @attrs.frozen(kw_only=True)
 class Probe:
-    """Ask a member for a sign of life."""
+    """Request an ack from a member."""
 
     number: int
     gossip: Gossip
@@ -72,7 +71,7 @@
 
 @attrs.frozen(kw_only=True)
 class ProbeAck:
-    """Answer a probe; `about` names a member that a helper has heard."""
+    """Acknowledge a probe; `about` is the target of an indirect probe."""
 
     number: int
     gossip: Gossip
@@ -81,7 +80,7 @@
 
 @attrs.frozen(kw_only=True)
 class ProbeRequest:
-    """Ask a helper to probe a member that did not answer us."""
+    """Request an indirect probe of a member that did not answer."""
 
     number: int
     target: bytes
@@ -89,23 +88,23 @@
 
 @attrs.frozen(kw_only=True)
 class SequenceFloor:
-    """Tell a sender that its sequence numbers have fallen behind."""
+    """Tell a sender that its sequence numbers are below the window."""
 
     floor: int
 
 
 @attrs.frozen(kw_only=True)
 class RecordPull:
-    """Ask for the records after a revision."""
+    """Request the records after a revision."""
 
     after: int
 
 
 @attrs.frozen(kw_only=True)
 class RecordChunk:
-    """Carry a piece of one compressed record; `more` says to pull on.
+    """Send a piece of one compressed record; `more` requests another pull.
 
-    `previous` is the revision that came before it in the sender's order.
+    `previous` is the revision before it in the order of the sender.
     """
 
     key: str
--- a/burdocksill/peers/replay.py
+++ b/burdocksill/peers/replay.py
@@ -1,32 +1,32 @@
-"""Refuse datagrams that were accepted before."""
+"""Replay protection by sequence numbers."""
 
 from collections import OrderedDict
 from typing import Final
 
 import attrs
 
-# A sender's datagrams may overtake each other by this many places.
-WINDOW: Final = 256
-# Above the fleet's size, so that no live sender is ever evicted.
-SENDER_LIMIT: Final = 32768
+# Datagrams of a sender may be reordered by up to this many numbers.
+WINDOW_SIZE: Final = 256
+# Larger than the fleet, so that no live sender is evicted.
+MAX_SENDERS: Final = 32768
 
 
 @attrs.define(kw_only=True)
 class SenderWindow:
-    """Remember the last sequence numbers of one sender as a bitmap."""
+    """Hold the latest sequence numbers of one sender as a bitmap."""
 
     newest: int
     seen: int = 1
 
     def accept(self, sequence: int) -> bool:
-        """Return True for a number that is neither seen nor too old."""
+        """Accept a sequence number once; return False if seen or too old."""
         ahead = sequence - self.newest
         if ahead > 0:
-            shifted = self.seen << min(ahead, WINDOW)
-            self.seen = (shifted | 1) & ((1 << WINDOW) - 1)
+            shifted = self.seen << min(ahead, WINDOW_SIZE)
+            self.seen = (shifted | 1) & ((1 << WINDOW_SIZE) - 1)
             self.newest = sequence
             return True
-        if -ahead >= WINDOW or self.seen >> -ahead & 1:
+        if -ahead >= WINDOW_SIZE or self.seen >> -ahead & 1:
             return False
         self.seen |= 1 << -ahead
         return True
@@ -34,10 +34,10 @@
 
 @attrs.define(kw_only=True)
 class ReplayGuard:
-    """Keep one window for each sender, in bounded memory.
+    """Hold a window for each sender, in bounded memory.
 
-    Whoever records a datagram on the wire can send it again with a signature
-    that fits; without this guard an old heartbeat would keep a dead VM alive.
+    A recorded datagram can be sent again with a valid signature. Without replay
+    protection an old heartbeat would keep a dead VM alive.
     """
 
     windows: OrderedDict[bytes, SenderWindow] = attrs.field(
@@ -45,16 +45,16 @@
     )
 
     def accept(self, sender: bytes, sequence: int) -> bool:
-        """Return True for a sender's new datagram."""
+        """Accept a sender's sequence number once."""
         window = self.windows.get(sender)
         if window is not None:
             return window.accept(sequence)
         self.windows[sender] = SenderWindow(newest=sequence)
-        if len(self.windows) > SENDER_LIMIT:
+        if len(self.windows) > MAX_SENDERS:
             self.windows.popitem(last=False)
         return True
 
     def floor(self, sender: bytes, sequence: int) -> int:
-        """Return where a sender has to go on, 0 for a plain copy."""
+        """Return the floor for a sender's sequence, 0 for a duplicate."""
         newest = self.windows[sender].newest
-        return newest if newest - sequence >= WINDOW else 0
+        return newest if newest - sequence >= WINDOW_SIZE else 0
--- a/burdocksill/peers/sender.py
+++ b/burdocksill/peers/sender.py
@@ -1,4 +1,4 @@
-"""How the slices send messages to other entry VMs."""
+"""Interface for sending messages to other entry VMs."""
 
 from typing import Protocol
 
@@ -6,7 +6,7 @@
 
 
 class PeerSender(Protocol):
-    """Send one message; a lost one is repeated by whoever needs it."""
+    """Send one message; callers repeat a lost one if they need it."""
 
     def send(self, message: object, peer: Address) -> bool:
-        """Send without waiting; return False when it was dropped here."""
+        """Send without waiting; return False if it was dropped locally."""
--- a/burdocksill/readers/protocols.py
+++ b/burdocksill/readers/protocols.py
@@ -88,4 +88,4 @@
     """Send a datagram to another node, or drop it."""
 
     def __call__(self, payload: bytes, peer: Address) -> bool:
-        """Send without waiting; return False when it was dropped here."""
+        """Send without waiting; return False if it was dropped locally."""
--- a/tests/steps/peers_envelope.py
+++ b/tests/steps/peers_envelope.py
@@ -12,7 +12,7 @@
 from burdocksill.peers.envelope import EnvelopeSealer
 from burdocksill.peers.exceptions import PeerDatagramError
 from burdocksill.peers.messages import RecordPull
-from burdocksill.peers.replay import SENDER_LIMIT, ReplayGuard
+from burdocksill.peers.replay import MAX_SENDERS, ReplayGuard
 
 PEER = Address('10.0.0.1', 5690)
 
@@ -140,4 +140,4 @@
     guard = ReplayGuard()
     for number in range(limit + 100):
         assert guard.accept(number.to_bytes(4, 'big'), 1)
-    assert len(guard.windows) <= limit == SENDER_LIMIT
+    assert len(guard.windows) <= limit == MAX_SENDERS
