--- a/tests/fleet_story.py
+++ b/tests/fleet_script.py
@@ -1,4 +1,4 @@
-"""Stories of a fleet: each check runs the story so far from its seed."""
+"""Scripts of a fleet: each check runs the script so far from its seed."""
 
 from collections.abc import Awaitable, Callable
 
@@ -8,21 +8,21 @@
 from burdocksill_lab.fakes.deterministic import run_seeded
 from burdocksill_lab.fakes.world import World, open_world
 
-Act = Callable[[World], Awaitable[None]]
+Step = Callable[[World], Awaitable[None]]
 
 
-def tell(context: Context, act: Act) -> None:
-    """Add what happens next to the story."""
-    context.story = (*context.story, act)
+def add_step(context: Context, step: Step) -> None:
+    """Add a step to the script."""
+    context.script = (*context.script, step)
 
 
-def check(context: Context, act: Act) -> None:
-    """Add a check and run the story up to it."""
-    tell(context, act)
+def add_check(context: Context, step: Step) -> None:
+    """Add a check and run the script up to it."""
+    add_step(context, step)
 
     async def run() -> None:
         async with open_world(context.seed) as world:
-            for step in context.story:
+            for step in context.script:
                 await step(world)
 
     run_seeded(context.seed, run)
@@ -38,10 +38,12 @@
 
 
 async def wait_for(
-    seconds: float, holds: Callable[[], bool], say: Callable[[], object]
+    seconds: float,
+    condition: Callable[[], bool],
+    describe: Callable[[], object],
 ) -> None:
-    """Wait until something holds, or fail with what is so."""
+    """Wait until a condition holds, or fail with a description."""
     deadline = trio.current_time() + seconds
-    while not holds():
-        assert trio.current_time() < deadline, say()
+    while not condition():
+        assert trio.current_time() < deadline, describe()
         await trio.sleep(0.05)
--- a/tests/steps/documents_dissemination.py
+++ b/tests/steps/documents_dissemination.py
@@ -4,7 +4,7 @@
 import trio
 from behave import then, when
 from behave.runner import Context
-from fleet_story import check, tell, wait_for
+from fleet_script import add_check, add_step, wait_for
 
 from burdocksill.documents.acceptance import delete_document, put_document
 from burdocksill.documents.models import (
@@ -46,63 +46,63 @@
 def accept_deadline(context: Context, seconds: float) -> None:
     """Accept an edit."""
 
-    async def act(world: World) -> None:
+    async def step(world: World) -> None:
         document = attrs.evolve(DOCUMENT, deadline_seconds=seconds)
         await put_document(world.platform, document)
 
-    tell(context, act)
+    add_step(context, step)
 
 
 @when('the store accepts a deadline of {seconds:g} s over it')
 def accept_over(context: Context, seconds: float) -> None:
     """Write over a record that nobody can read, as its tool would."""
 
-    async def act(world: World) -> None:
+    async def step(world: World) -> None:
         document = attrs.evolve(DOCUMENT, deadline_seconds=seconds)
         key = keys.document_key(SERVICE)
         world.platform.put(key, encode_document(document))
 
-    tell(context, act)
+    add_step(context, step)
 
 
 @when('the store accepts a deletion')
 def accept_deletion(context: Context) -> None:
     """Delete the document."""
 
-    async def act(world: World) -> None:
+    async def step(world: World) -> None:
         await delete_document(world.platform, SERVICE)
 
-    tell(context, act)
+    add_step(context, step)
 
 
 @when('the store is given a document that nobody can read')
 def put_unreadable(context: Context) -> None:
     """Write a broken record."""
 
-    async def act(world: World) -> None:
+    async def step(world: World) -> None:
         world.platform.put(keys.document_key(SERVICE), b'{"service": 1}')
 
-    tell(context, act)
+    add_step(context, step)
 
 
 @when('the store goes down')
 def store_down(context: Context) -> None:
     """Begin an outage."""
 
-    async def act(world: World) -> None:
+    async def step(world: World) -> None:
         world.platform.set_down(down=True)
 
-    tell(context, act)
+    add_step(context, step)
 
 
 @when('the store comes back')
 def store_up(context: Context) -> None:
     """End an outage."""
 
-    async def act(world: World) -> None:
+    async def step(world: World) -> None:
         world.platform.set_down(down=False)
 
-    tell(context, act)
+    add_step(context, step)
 
 
 @when(
@@ -111,7 +111,7 @@
 def replace_with_keys(context: Context, name: str) -> None:
     """Start a VM that has keys and its peers' addresses."""
 
-    async def act(world: World) -> None:
+    async def step(world: World) -> None:
         running = world.nodes[name]
         world.kill_node(name)
         world.begin_node(
@@ -123,33 +123,33 @@
             ring=running.node.keys.ring,
         )
 
-    tell(context, act)
+    add_step(context, step)
 
 
 @when('the fleet\'s "{name}" is cut off from all others and the store')
 def cut_off_store(context: Context, name: str) -> None:
     """Cut a VM off from everything."""
 
-    async def act(world: World) -> None:
+    async def step(world: World) -> None:
         others = [
             running.host for key, running in world.nodes.items() if key != name
         ]
         host = world.nodes[name].host
         world.network.cut([host], [*others, 'platform'])
 
-    tell(context, act)
+    add_step(context, step)
 
 
 @when("the fleet's keys rotate")
 def rotate_keys(context: Context) -> None:
     """Rotate the keys in the store."""
 
-    async def act(world: World) -> None:
+    async def step(world: World) -> None:
         stored = world.platform.current[keys.FLEET_KEYS]
         ring = rotate(decode_ring(stored.value))
         world.platform.put(keys.FLEET_KEYS, encode_ring(ring))
 
-    tell(context, act)
+    add_step(context, step)
 
 
 @then(
@@ -159,14 +159,14 @@
 def check_deadline(context: Context, seconds: float, value: float) -> None:
     """Check what is in force everywhere."""
 
-    async def act(world: World) -> None:
+    async def step(world: World) -> None:
         await wait_for(
             seconds,
             lambda: set(deadlines(world).values()) == {value},
             lambda: deadlines(world),
         )
 
-    check(context, act)
+    add_check(context, step)
 
 
 @then('within {seconds:g} s no service is in force on the whole fleet')
@@ -179,42 +179,42 @@
 def check_calls(context: Context, limit: float) -> None:
     """Count the store's calls."""
 
-    async def act(world: World) -> None:
+    async def step(world: World) -> None:
         before = world.platform.reads
         await trio.sleep(20)
         calls = world.platform.reads - before
         assert calls / 20 <= limit, calls
 
-    check(context, act)
+    add_check(context, step)
 
 
 @then('within {seconds:g} s the fleet\'s "{name}" serves')
 def check_serves(context: Context, seconds: float, name: str) -> None:
     """Check that a VM serves."""
 
-    async def act(world: World) -> None:
+    async def step(world: World) -> None:
         serving = world.nodes[name].node.serving
         await wait_for(seconds, serving.is_set, lambda: name)
 
-    check(context, act)
+    add_check(context, step)
 
 
 @then('the fleet\'s "{name}" does not serve')
 def check_silent(context: Context, name: str) -> None:
     """Check that a VM does not serve."""
 
-    async def act(world: World) -> None:
+    async def step(world: World) -> None:
         assert not world.nodes[name].node.serving.is_set()
 
-    check(context, act)
+    add_check(context, step)
 
 
 @then("the fleet's VMs all sign with the new key")
 def check_keys(context: Context) -> None:
     """Check that the new key is everywhere."""
 
-    async def act(world: World) -> None:
+    async def step(world: World) -> None:
         rings = [running.node.keys.ring for running in world.nodes.values()]
         assert {ring.current for ring in rings if ring} == {2}, rings
 
-    check(context, act)
+    add_check(context, step)
--- a/tests/steps/readers_fleet.py
+++ b/tests/steps/readers_fleet.py
@@ -5,13 +5,13 @@
 import trio
 from behave import given, then, when
 from behave.runner import Context
-from reading_story import (
+from reading_script import (
     UPSTREAM_COUNT,
-    Story,
-    act,
-    check,
-    mark,
+    SimulationScript,
+    add_check,
+    add_step,
     put_upstream,
+    start_measuring,
 )
 
 from burdocksill.packets.store_cache import SyncProgress
@@ -23,7 +23,7 @@
 @given('a fleet of {nodes:d} nodes in {domains:d} domains')
 def prepare(context: Context, nodes: int, domains: int) -> None:
     """Remember the sizes."""
-    context.story = Story(nodes, domains)
+    context.script = SimulationScript(nodes, domains)
 
 
 @given('a network that loses {share:f} of the datagrams')
@@ -33,7 +33,7 @@
     async def step(fleet: SharedFleet) -> None:
         fleet.network.faults.loss = share
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('{seconds:d} quiet seconds pass')
@@ -43,7 +43,7 @@
     async def step(fleet: SharedFleet) -> None:
         await fleet.run(seconds)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('a manifest is written')
@@ -53,7 +53,7 @@
     async def step(fleet: SharedFleet) -> None:
         fleet.put_version()
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('{count:d} manifests are written, one each {gap:d} seconds')
@@ -65,7 +65,7 @@
             fleet.put_version()
             await fleet.run(gap)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('a manifest of {routes:d} routes is written')
@@ -75,7 +75,7 @@
     async def step(fleet: SharedFleet) -> None:
         fleet.put_version(routes)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the reader of "{domain}" loses power')
@@ -85,7 +85,7 @@
     async def step(fleet: SharedFleet) -> None:
         fleet.kill(fleet.reader_of(domain))
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('all readers lose power')
@@ -97,7 +97,7 @@
             if node.is_reader:
                 fleet.kill(node)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the reader of "{domain}" freezes')
@@ -105,10 +105,10 @@
     """Stop a reader's host."""
 
     async def step(fleet: SharedFleet) -> None:
-        context.story.chosen = fleet.reader_of(domain)
-        fleet.network.pause(context.story.chosen.host)
+        context.script.selected = fleet.reader_of(domain)
+        fleet.network.pause(context.script.selected.host)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('it wakes')
@@ -116,9 +116,9 @@
     """Let it go on."""
 
     async def step(fleet: SharedFleet) -> None:
-        fleet.network.resume(context.story.chosen.host)
+        fleet.network.resume(context.script.selected.host)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the reader of "{domain}" is cut off from the store')
@@ -126,10 +126,10 @@
     """Cut a reader's link to the store."""
 
     async def step(fleet: SharedFleet) -> None:
-        context.story.chosen = fleet.reader_of(domain)
-        fleet.network.cut([context.story.chosen.host], [STORE.host])
+        context.script.selected = fleet.reader_of(domain)
+        fleet.network.cut([context.script.selected.host], [STORE.host])
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the store turns all readers away')
@@ -140,7 +140,7 @@
         turned = {node.host for node in fleet.living() if node.is_reader}
         fleet.store.turned_away = turned
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the store turns all nodes but the readers away')
@@ -151,7 +151,7 @@
         turned = {node.host for node in fleet.living() if not node.is_reader}
         fleet.store.turned_away = turned
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('"{domain}" is cut off from the other domains')
@@ -163,7 +163,7 @@
         far = [n.host for n in fleet.nodes if n.settings.domain != domain]
         fleet.network.cut(near, far)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the store is down for {seconds:d} seconds')
@@ -175,7 +175,7 @@
         await fleet.run(seconds)
         fleet.store.trouble = Trouble.NONE
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the store\'s trouble is "{trouble}" for {seconds:d} seconds')
@@ -183,12 +183,12 @@
     """Let the store do nothing for a while."""
 
     async def step(fleet: SharedFleet) -> None:
-        mark(context.story, fleet)
+        start_measuring(context.script, fleet)
         fleet.store.trouble = Trouble(trouble)
         await fleet.run(seconds)
         fleet.store.trouble = Trouble.NONE
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when("the store's open connections fall silent and its history is dropped")
@@ -196,22 +196,22 @@
     """Let only new connections carry anything."""
 
     async def step(fleet: SharedFleet) -> None:
-        mark(context.story, fleet)
+        start_measuring(context.script, fleet)
         fleet.store.muted = fleet.store.connections
         fleet.store.compact()
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('{nodes:d} nodes in {domains:d} domains start together')
 def start_together(context: Context, nodes: int, domains: int) -> None:
     """Start a fleet, and count from before its start."""
-    context.story = Story(nodes, domains)
+    context.script = SimulationScript(nodes, domains)
 
     async def step(_: SharedFleet) -> None:
-        context.story.calls = 0
+        context.script.calls = 0
 
-    act(context, step)
+    add_step(context, step)
 
 
 @then('calls worth at most {most:d} were made')
@@ -225,7 +225,7 @@
         worth = len(fleet.store.calls) - cheap * 0.9
         assert worth <= most, worth
 
-    check(context, step)
+    add_check(context, step)
 
 
 @when('upstreams change, one goes, and the history is dropped')
@@ -240,9 +240,9 @@
         fleet.store.remove(f'{UPSTREAMS}i-{1:08x}')
         fleet.store.compact()
         waiting.set()
-        mark(context.story, fleet)
+        start_measuring(context.script, fleet)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the process of the reader of "{domain}" is killed and starts again')
@@ -254,9 +254,9 @@
         fleet.kill(node, silent=False)
         await fleet.run(0.5)
         name = node.settings.name
-        context.story.chosen = await fleet.add_node(domain, name=name)
+        context.script.selected = await fleet.add_node(domain, name=name)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the reader of "{domain}" stops in an orderly way')
@@ -265,12 +265,12 @@
 
     async def step(fleet: SharedFleet) -> None:
         node = fleet.reader_of(domain)
-        context.story.chosen = node
+        context.script.selected = node
         await node.store_sync.leave()
         await fleet.run(1)
         fleet.kill(node, silent=False)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the store answers each call {seconds:f} seconds late')
@@ -280,7 +280,7 @@
     async def step(fleet: SharedFleet) -> None:
         fleet.store.delay_seconds = seconds
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the reader of "{domain}" stops during a renewal')
@@ -289,7 +289,7 @@
 
     async def step(fleet: SharedFleet) -> None:
         node = fleet.reader_of(domain)
-        context.story.chosen = node
+        context.script.selected = node
         calls = fleet.store.calls
         before = len(calls)
         while not any('keep' in call for call in calls[before:]):
@@ -298,7 +298,7 @@
         await node.store_sync.leave()
         fleet.kill(node, silent=False)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @then('at most {count:d} calls a second were made')
@@ -306,11 +306,11 @@
     """Count the calls since the fleet was settled."""
 
     async def step(fleet: SharedFleet) -> None:
-        seconds = trio.current_time() - context.story.began
-        rate = (len(fleet.store.calls) - context.story.calls) / seconds
+        seconds = trio.current_time() - context.script.started_at
+        rate = (len(fleet.store.calls) - context.script.calls) / seconds
         assert rate <= count, rate
 
-    check(context, step)
+    add_check(context, step)
 
 
 @then('at most {count:d} calls were made for it')
@@ -318,12 +318,12 @@
     """Count the calls since the last mark, renewals left out."""
 
     async def step(fleet: SharedFleet) -> None:
-        since = fleet.store.calls[context.story.calls :]
+        since = fleet.store.calls[context.script.calls :]
         kinds = Counter(call.partition('?')[0] for call in since)
         made = sum(n for call, n in kinds.items() if 'keep' not in call)
         assert made <= count, kinds
 
-    check(context, step)
+    add_check(context, step)
 
 
 @then('at most {count:d} bytes a second went between nodes for each node')
@@ -331,12 +331,12 @@
     """Count what nodes sent each other."""
 
     async def step(fleet: SharedFleet) -> None:
-        seconds = trio.current_time() - context.story.began
-        sent = fleet.peer_bytes - context.story.peer_bytes
+        seconds = trio.current_time() - context.script.started_at
+        sent = fleet.peer_bytes - context.script.peer_bytes
         each = sent / seconds / len(fleet.nodes)
         assert each <= count, each
 
-    check(context, step)
+    add_check(context, step)
 
 
 @then("no node's knowledge was older than {limit:f} seconds")
@@ -346,7 +346,7 @@
     async def step(fleet: SharedFleet) -> None:
         assert 0 < fleet.oldest <= limit, fleet.oldest
 
-    check(context, step)
+    add_check(context, step)
 
 
 @then('each domain has one reader')
@@ -357,10 +357,10 @@
         found = Counter(
             node.settings.domain for node in fleet.living() if node.is_reader
         )
-        wanted = {f'd{n}': 1 for n in range(context.story.domains)}
+        wanted = {f'd{n}': 1 for n in range(context.script.domains)}
         assert found == wanted, found
 
-    check(context, step)
+    add_check(context, step)
 
 
 @then('"{domain}" has another reader')
@@ -369,9 +369,9 @@
 
     async def step(fleet: SharedFleet) -> None:
         reader = fleet.reader_of(domain)
-        assert reader is not context.story.chosen
+        assert reader is not context.script.selected
 
-    check(context, step)
+    add_check(context, step)
 
 
 @then('the same node reads for "{domain}"')
@@ -379,9 +379,9 @@
     """Look for the node that started again."""
 
     async def step(fleet: SharedFleet) -> None:
-        assert fleet.reader_of(domain) is context.story.chosen
+        assert fleet.reader_of(domain) is context.script.selected
 
-    check(context, step)
+    add_check(context, step)
 
 
 @then('it is in force on all nodes within {limit:f} seconds')
@@ -393,7 +393,7 @@
         shown = Counter(node.version for node in fleet.living())
         assert took <= limit, (took, shown, fleet.version)
 
-    check(context, step)
+    add_check(context, step)
 
 
 @then('it is in force on all nodes but the frozen within {limit:f} seconds')
@@ -407,9 +407,9 @@
             for node in fleet.living()
             if node.version < fleet.version
         ]
-        assert old in ([], [context.story.chosen.settings.name]), old
+        assert old in ([], [context.script.selected.settings.name]), old
 
-    check(context, step)
+    add_check(context, step)
 
 
 @then('all nodes know the upstreams of the store within {limit:f} seconds')
@@ -428,7 +428,7 @@
             found = {name for name, one in known if not one.absent_since}
             assert found == wanted, found ^ wanted
 
-    check(context, step)
+    add_check(context, step)
 
 
 @given('a node that has read the store')
