--- a/tests/readers/fleet.feature
+++ b/tests/readers/fleet.feature
@@ -1,17 +1,17 @@
 Feature: Nodes share the reading of the store
-  One node a failure domain reads the store; the others ask it, and read the
-  store by themselves as soon as what they know grows old. The real tasks run
-  on virtual time, against the stand-in of the store.
+  One node of each failure domain reads the store. The others request updates
+  from it, and read the store themselves once their data is too old. The real
+  tasks run in virtual time against a fake store.
 
   Scenario Outline: Calls grow with the domains, not with the nodes
-    # Each node that watched for itself made 0.5 calls a second, 40 with 80
-    # nodes. With one reader a domain, 80 nodes in 3 domains make 4.5, and 9
-    # nodes in 3 domains the same; a renewal counts as one call here.
+    # A node that watches the store itself makes 0.5 calls a second, 80 nodes
+    # make 40. With one reader per domain, 80 nodes in 3 domains make 4.5, and so
+    # do 9 nodes in 3 domains; a lease renewal counts as one call here.
     Given a fleet of <nodes> nodes in <domains> domains
     When 10 quiet seconds pass
     Then at most <calls> calls a second were made
     And at most 80 bytes a second went between nodes for each node
-    And no node's knowledge was older than 1.8 seconds
+    And no node's data was older than 1.8 seconds
 
     Examples:
       | nodes | domains | calls |
@@ -20,14 +20,15 @@
       | 66    | 5       | 8     |
       | 300   | 5       | 8     |
 
-  Scenario: Nodes that start together end with one reader a domain
-    # After a loss of power every node finds no reader and offers itself. Two
-    # offers at once must not both stand: the second would replace the first.
+  Scenario: Nodes that start together elect one reader per domain
+    # After a power loss no node finds a reader, and all campaign. Of two
+    # concurrent campaigns only one may succeed, or the second would replace the
+    # first.
     Given a fleet of 60 nodes in 3 domains
     Then each domain has one reader
 
-  Scenario Outline: A start costs one reading a node, and little more
-    Guards against offers and readings of each node that misses a reader.
+  Scenario Outline: A start costs one full read per node, and little more
+    Guards against a campaign and a full read by every node without a reader.
     When <nodes> nodes in <domains> domains start together
     Then each domain has one reader
     And calls worth at most <calls> were made
@@ -38,16 +39,16 @@
       | 60    | 3       | 120   |
       | 195   | 5       | 300   |
 
-  Scenario: Connections that fall silent keep nobody behind
-    Guards against nodes that all read the store before its reader gives up.
+  Scenario: Connections that stop carrying data delay no update
+    Guards against reads by all nodes before their reader's call times out.
     Given a fleet of 100 nodes in 5 domains
-    When the store's open connections fall silent and its history is dropped
+    When the store's open connections stop carrying data and its history is dropped
     And 4 quiet seconds pass
-    Then no node's knowledge was older than 2.0 seconds
+    Then no node's data was older than 2.0 seconds
     And at most 60 calls were made for it
 
-  Scenario Outline: A store in trouble is not called by all nodes
-    Guards against hundreds of calls that tell no more than the first.
+  Scenario Outline: A failing store is not called by all nodes
+    Guards against hundreds of calls that return no more than the first.
     Given a fleet of 100 nodes in 5 domains
     When the store's trouble is "<trouble>" for 6 seconds
     And a manifest is written
@@ -61,9 +62,9 @@
       | silent  | 300   |
 
   Scenario: A follower that reads the store brings its reader up to date
-    Guards against a domain that waits for the turn of each of its nodes.
+    Guards against a domain in which each node waits for its own fallback read.
     Given a fleet of 100 nodes in 5 domains
-    When the store turns all readers away
+    When the store refuses all readers
     And a manifest is written
     Then it is in force on all nodes within 2.5 seconds
     And at most 250 calls were made for it
@@ -73,9 +74,9 @@
     When a manifest is written
     Then it is in force on all nodes within 0.7 seconds
 
-  Scenario: A reader that loses power holds nobody up
-    # Its followers can't know: they only hear nothing. A manifest is written
-    # in the same moment, and must be in force after 3 seconds everywhere.
+  Scenario: A reader that loses power delays no update
+    # Its followers only see missing answers. A manifest is written at the same
+    # time, and must be in force everywhere after 3 seconds.
     Given a fleet of 24 nodes in 3 domains
     When the reader of "d0" loses power
     And a manifest is written
@@ -83,22 +84,22 @@
     When 7 quiet seconds pass
     Then each domain has one reader
 
-  Scenario: A reader that freezes does not pass for current when it wakes
-    # It stands still for 6 seconds, and answers the asks that waited before it
-    # looks at the store again.
+  Scenario: A reader that was paused does not report its old data as current
+    # It is paused for 6 seconds, and answers the requests that have queued up
+    # before it reads the store again.
     Given a fleet of 24 nodes in 3 domains
-    When the reader of "d0" freezes
+    When the reader of "d0" is paused
     And a manifest is written
-    Then it is in force on all nodes but the frozen within 2.5 seconds
+    Then it is in force on all nodes but the paused one within 2.5 seconds
     When 6 quiet seconds pass
-    And it wakes
+    And it is resumed
     And a manifest is written
     Then it is in force on all nodes within 2.5 seconds
     When 5 quiet seconds pass
     Then each domain has one reader
 
-  Scenario: A reader that is cut off from the store is not relied on
-    # It answers its followers as before, but knows nothing new.
+  Scenario: Followers do not rely on a reader without connection to the store
+    # It still answers its followers, but gets no changes.
     Given a fleet of 24 nodes in 3 domains
     When the reader of "d0" is cut off from the store
     And a manifest is written
@@ -106,7 +107,7 @@
     When 7 quiet seconds pass
     Then "d0" has another reader
 
-  Scenario: All readers at once
+  Scenario: All readers lose power at once
     Given a fleet of 24 nodes in 3 domains
     When all readers lose power
     And a manifest is written
@@ -114,16 +115,16 @@
     When 7 quiet seconds pass
     Then each domain has one reader
 
-  Scenario: The store turns the readers away and serves the others
+  Scenario: The store refuses the readers and serves the others
     Given a fleet of 24 nodes in 3 domains
-    When the store turns all readers away
+    When the store refuses all readers
     And a manifest is written
     Then it is in force on all nodes within 2.5 seconds
 
-  Scenario: The store turns most nodes away
-    # Who is turned away learns from the one node of the domain that is not.
+  Scenario: The store refuses most nodes
+    # Refused nodes get changes from the one node of their domain that is not.
     Given a fleet of 24 nodes in 3 domains
-    When the store turns all nodes but the readers away
+    When the store refuses all nodes but the readers
     And a manifest is written
     Then it is in force on all nodes within 0.7 seconds
 
@@ -133,12 +134,12 @@
     And a manifest is written
     Then it is in force on all nodes within 0.7 seconds
 
-  Scenario: Lost datagrams are asked for again
+  Scenario: Lost datagrams are requested again
     Given a fleet of 24 nodes in 3 domains
     And a network that loses 0.2 of the datagrams
     When 10 manifests are written, one each 1 seconds
     Then it is in force on all nodes within 2.5 seconds
-    And no node's knowledge was older than 2.5 seconds
+    And no node's data was older than 2.5 seconds
 
   Scenario: A store that was down is followed again soon after
     Given a fleet of 24 nodes in 3 domains
@@ -146,9 +147,9 @@
     And a manifest is written
     Then it is in force on all nodes within 1.2 seconds
 
-  Scenario: Dropped history costs a reading for each domain
-    # A watch fails, and what changed meanwhile is known by a whole reading
-    # only. The reader tells its followers what that reading changed.
+  Scenario: Dropped history costs one full read per domain
+    # A watch fails, and only a full read shows what has changed meanwhile. The
+    # reader sends its followers the changes that the read showed.
     Given a fleet of 60 nodes in 3 domains
     When upstreams change, one goes, and the history is dropped
     Then all nodes know the upstreams of the store within 2.5 seconds
@@ -159,8 +160,8 @@
     When a manifest of 2000 routes is written
     Then it is in force on all nodes within 2.5 seconds
 
-  Scenario: A reader whose process starts again reads at once
-    # Its entry stands until the lease ends, and others go on asking it.
+  Scenario: A reader whose process restarts reads the store at once
+    # Its entry exists until the lease expires, and others still send requests.
     Given a fleet of 12 nodes in 3 domains
     When the process of the reader of "d0" is killed and starts again
     And 2 quiet seconds pass
@@ -173,18 +174,18 @@
     And 3 quiet seconds pass
     Then "d0" has another reader
 
-  Scenario: A reader that stops while it renews its lease leaves in order
-    # Both calls go over one connection. Two at once ended the process before
-    # it had forwarded what routers still sent it.
+  Scenario: A reader can stop while it renews its lease
+    # Both calls use one connection. Two concurrent calls ended the process
+    # before it had forwarded the packets that routers still sent it.
     Given a fleet of 12 nodes in 3 domains
     When the store answers each call 0.3 seconds late
     And the reader of "d0" stops during a renewal
     And 6 quiet seconds pass
     Then "d0" has another reader
 
-  Scenario: A node that was suspended counts the time that it lost
-    # The monotonic clock of a suspended machine stands still. What it knew
-    # before must not pass for new when it tells others.
+  Scenario: The age of data includes the time of a suspension
+    # The monotonic clock of a suspended machine stops. A node must not send
+    # data from before the suspension as current.
     Given a node that has read the store
     When its machine is suspended for 30 seconds
-    Then its knowledge is 30 seconds old
+    Then its data is 30 seconds old
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -42,7 +42,7 @@
 READER = Reader(name='entry-r', address=Address('10.1.0.9', 7720))
 
 
-@when('changes, removals and odd bytes are written and read again')
+@when('changes, removals and unusual bytes are encoded and decoded')
 def write_and_read(context: Context) -> None:
     """Write messages and read them."""
     changes = (
@@ -97,8 +97,8 @@
         assert written == read, (written, read)
 
 
-@when('{count:d} random and garbled datagrams are read')
-def read_garbled(context: Context, count: int) -> None:
+@when('{count:d} random and corrupt datagrams are decoded')
+def read_corrupt(context: Context, count: int) -> None:
     """Read random bytes, and messages with bytes changed."""
     rng = Random(context.seed)
     changes = (StoredValue(key='servers/i-1', value=b'{}', revision=7),)
@@ -109,15 +109,15 @@
         if number % 2:
             payload = rng.randbytes(rng.randrange(80))
         else:
-            garbled = bytearray(good[: rng.randrange(1, len(good) + 1)])
-            garbled[rng.randrange(len(garbled))] = rng.randrange(256)
-            payload = bytes(garbled)
+            corrupt = bytearray(good[: rng.randrange(1, len(good) + 1)])
+            corrupt[rng.randrange(len(corrupt))] = rng.randrange(256)
+            payload = bytes(corrupt)
         context.read.append(decode(payload))
 
 
-@then('each was refused or is a sound message')
-def check_sound(context: Context) -> None:
-    """Look at what was read."""
+@then('each was rejected or is a valid message')
+def check_valid(context: Context) -> None:
+    """Check what was read."""
     for message in context.read:
         if isinstance(message, Update):
             assert message.age >= 0
@@ -133,7 +133,7 @@
             assert message is None or isinstance(message, UpdateRequest)
 
 
-@then('a datagram that would unpack to 64 MB is refused')
+@then('a datagram that would decompress to 64 MB is rejected')
 def check_bomb(context: Context) -> None:
     """Read a small datagram with a huge content."""
     head = UPDATE.pack(UPDATE_KIND, 1, 5, 7, 0.5, 2.0, 9, True)
@@ -141,7 +141,7 @@
 
 
 class KnownReaders:
-    """Know one reader of the domain, or none."""
+    """Registry with one reader of the domain, or none."""
 
     def __init__(self, *, reader: Reader | None = READER) -> None:
         """Keep the entry."""
@@ -149,7 +149,7 @@
         self.readers = {'a': entry}
 
 
-@given('a node that knows revision {revision:d} and has asked for changes')
+@given('a node that knows revision {revision:d} and has requested changes')
 def make_asker(context: Context, revision: int) -> None:
     """Prepare a node that has read the store and asked a reader."""
     world = PacketWorld(seed=context.seed, revision=revision - 2)
@@ -174,7 +174,7 @@
     assert context.known.revision == revision
 
 
-def tell(
+def deliver(
     context: Context,
     *,
     after: int,
@@ -183,7 +183,7 @@
     sender: Address = READER.address,
     stable: float = 60.0,
 ) -> None:
-    """Hand an update to the node that removes one upstream."""
+    """Deliver an update that removes one upstream."""
     name = next(iter(context.before))
     gone = StoredValue(
         key=UPSTREAMS + name,
@@ -203,44 +203,44 @@
 
 
 @when('an update with another token arrives')
-def tell_forged(context: Context) -> None:
-    """Hand over an update with a made-up token."""
-    tell(context, after=20, revision=25, token=context.ask.token ^ 1)
+def deliver_forged(context: Context) -> None:
+    """Deliver an update with a forged token."""
+    deliver(context, after=20, revision=25, token=context.ask.token ^ 1)
 
 
-@when('an update arrives from an address that was not asked')
-def tell_elsewhere(context: Context) -> None:
-    """Hand over an update of another sender."""
-    tell(context, after=20, revision=25, sender=Address('10.1.0.8', 7720))
+@when('an update arrives from an address without a request')
+def deliver_elsewhere(context: Context) -> None:
+    """Deliver an update of another sender."""
+    deliver(context, after=20, revision=25, sender=Address('10.1.0.8', 7720))
 
 
-@when('the update that was asked for arrives')
-def tell_right(context: Context) -> None:
-    """Hand over the answer."""
-    tell(context, after=20, revision=25)
+@when('the requested update arrives')
+def deliver_right(context: Context) -> None:
+    """Deliver the answer."""
+    deliver(context, after=20, revision=25)
 
 
 @when('an update arrives that ends at revision {revision:d}')
-def tell_late(context: Context, revision: int) -> None:
-    """Hand over an update that is older than what is known."""
-    tell(context, after=10, revision=revision)
+def deliver_late(context: Context, revision: int) -> None:
+    """Deliver an update that is older than what is known."""
+    deliver(context, after=10, revision=revision)
 
 
 @when('an update arrives that begins at revision {revision:d}')
-def tell_gap(context: Context, revision: int) -> None:
-    """Hand over an update that leaves out changes."""
-    tell(context, after=revision, revision=revision + 3)
+def deliver_gap(context: Context, revision: int) -> None:
+    """Deliver an update that leaves out changes."""
+    deliver(context, after=revision, revision=revision + 3)
 
 
-@when('an update tells that the store has been fine for {seconds:f} seconds')
-def tell_stable(context: Context, seconds: float) -> None:
-    """Hand over an update of a reader that saw trouble."""
-    tell(context, after=20, revision=25, stable=seconds)
+@when('an update reports that the store has worked for {seconds:f} seconds')
+def deliver_stable(context: Context, seconds: float) -> None:
+    """Deliver an update of a reader that saw trouble."""
+    deliver(context, after=20, revision=25, stable=seconds)
 
 
 @then('nothing has changed')
 def check_nothing(context: Context) -> None:
-    """Look at the upstreams and the revision."""
+    """Check the upstreams and the revision."""
     upstreams = context.updater.upstreams.by_name.values()
     assert not any(one.absent_since for one in upstreams)
     assert context.known.revision == 20
@@ -248,19 +248,19 @@
 
 @then('the node knows revision {revision:d}')
 def check_revision(context: Context, revision: int) -> None:
-    """Look at the revision."""
+    """Check the revision."""
     assert context.known.revision == revision, context.known.revision
 
 
 @then('the upstream of revision {revision:d} is still there')
 def check_present(context: Context, revision: int) -> None:
-    """Look for the upstream."""
+    """Check for the upstream."""
     check_nothing(context)
 
 
-@then('it asks at once for what came after {revision:d}')
+@then('it requests at once the changes after {revision:d}')
 def check_asks(context: Context, revision: int) -> None:
-    """Look at the next ask."""
+    """Check the next ask."""
     assert context.subscription.seconds_until_request() == 0
     _, ask = context.subscription.next_request()
     assert ask.revision == revision
@@ -273,8 +273,8 @@
     assert abs(context.world.timeline.now - since - seconds) < 0.01, since
 
 
-def make_claim(context: Context, cores: float, seed: int) -> ReaderElection:
-    """Prepare a node that may offer itself."""
+def make_election(context: Context, cores: float, seed: int) -> ReaderElection:
+    """Prepare a node that may campaign."""
     context.now = 50.0
     return ReaderElection(
         local_node=Reader(name='entry-1', address=Address('10.1.0.1', 7720)),
@@ -287,27 +287,27 @@
 
 
 @when(
-    '{count:d} nodes of {quick:f} and {more:d} of {slow:f} cores miss a reader'
+    '{count:d} nodes of {quick:f} and {more:d} of {slow:f} cores have no reader'
 )
-def miss_reader(
+def start_without_reader(
     context: Context,
     count: int,
     quick: float,
     more: int,
     slow: float,
 ) -> None:
-    """Let nodes draw the time of their offer."""
+    """Let nodes draw the time of their campaign."""
     context.waits = {}
     for cores, number in ((quick, count), (slow, more)):
         waits = []
         for seed in range(number):
-            election = make_claim(context, cores, seed)
+            election = make_election(context, cores, seed)
             election.is_campaign_due()
             waits.append(election.campaign_at - context.now)
         context.waits[cores] = waits
 
 
-@then('the mean wait of the slow is at least {times:d} times that of the quick')
+@then('the mean delay of the slow is at least {times:d} times that of the fast')
 def check_waits(context: Context, times: int) -> None:
     """Compare the waits."""
     quick, slow = (statistics.mean(one) for one in context.waits.values())
@@ -316,15 +316,15 @@
 
 @then('nobody waits longer than {limit:f} seconds')
 def check_longest(context: Context, limit: float) -> None:
-    """Look at the longest wait."""
+    """Check the longest wait."""
     longest = max(max(one) for one in context.waits.values())
     assert longest <= limit, longest
 
 
 @given('a node that reads for its domain')
 def make_reader(context: Context) -> None:
-    """Let an offer succeed."""
-    context.election = make_claim(context, 1, context.seed)
+    """Let a campaign succeed."""
+    context.election = make_election(context, 1, context.seed)
     accepted = SwapResult(accepted=True, revision=9, current=None)
     context.election.record_campaign(accepted, 7, context.now)
     assert context.election.holds_lease
@@ -332,44 +332,44 @@
 
 @when('no renewal succeeds for {seconds:f} seconds')
 def fail_renewals(context: Context, seconds: float) -> None:
-    """Let time pass."""
+    """Advance the clock."""
     context.now += seconds
     context.election.check_expiry()
 
 
 @then('it does not read for its domain any more')
 def check_not_reader(context: Context) -> None:
-    """Look at its state."""
+    """Check its state."""
     assert not context.election.holds_lease
 
 
 @given('a node that finds its own old entry')
 def make_returned(context: Context) -> None:
-    """Prepare a node whose entry of before still stands."""
-    context.election = make_claim(context, 1, context.seed)
+    """Prepare a node whose old entry still exists."""
+    context.election = make_election(context, 1, context.seed)
     context.election.directory = KnownReaders(
         reader=context.election.local_node
     )
 
 
-@when('its offers fail for {seconds:d} seconds')
+@when('its campaigns fail for {seconds:d} seconds')
 def fail_offers(context: Context, seconds: int) -> None:
-    """Let every offer go unanswered."""
-    context.offers = 0
+    """Let each campaign get no answer."""
+    context.campaigns = 0
     for _ in range(seconds * 2):
         if context.election.is_campaign_due():
-            context.offers += 1
+            context.campaigns += 1
             context.election.record_failure()
         context.now += 0.5
 
 
-@then('it has offered itself at most {count:d} times')
+@then('it has campaigned at most {count:d} times')
 def check_offers(context: Context, count: int) -> None:
-    """Count the offers."""
-    assert 0 < context.offers <= count, context.offers
+    """Count the campaigns."""
+    assert 0 < context.campaigns <= count, context.campaigns
 
 
-@when('changes of {megabytes:d} MB that pack into a datagram are encoded')
+@when('changes of {megabytes:d} MB that compress into a datagram are encoded')
 def encode_alike(context: Context, megabytes: int) -> None:
     """Pack a value of zeros."""
     value = bytes(megabytes * 1_000_000)
@@ -379,7 +379,7 @@
 
 @then('they are left to the store')
 def check_left(context: Context) -> None:
-    """Look for no datagram."""
+    """Check for no datagram."""
     assert context.packed is None, len(context.packed)
 
 
@@ -396,7 +396,7 @@
 
 
 def count_decoded(context: Context) -> None:
-    """Keep the keys of what the node decodes from now on."""
+    """Record the keys of the entries that the node decodes from now on."""
     updater = context.node.core.updater
     decode_entry = updater.decode
     context.decoded = []
@@ -408,14 +408,14 @@
     updater.decode = count
 
 
-@when('it is told of manifests {first:d}, {second:d} and {third:d} at once')
+@when('it receives manifests {first:d}, {second:d} and {third:d} at once')
 def tell_versions(
     context: Context,
     first: int,
     second: int,
     third: int,
 ) -> None:
-    """Hand over an answer with several versions."""
+    """Deliver an answer with several versions."""
     world = context.world
     text = json.loads(world.store[MANIFEST])
     found = Snapshot(
@@ -434,7 +434,7 @@
 
 @then('manifest {version:d} is in force')
 def check_manifest(context: Context, version: int) -> None:
-    """Look at the version."""
+    """Check the version."""
     assert context.node.core.updater.table.version == version
 
 
@@ -473,7 +473,7 @@
 
 
 @when(
-    'a whole reading shows "{one}" of {first:d}, "{two}" of {second:d} '
+    'a full read shows "{one}" of {first:d}, "{two}" of {second:d} '
     'and "{three}" of {third:d}',
 )
 def show_whole(
@@ -496,13 +496,13 @@
         context.log.add(context.log.end, found)
 
 
-@then("the log can't tell what came after {after:d}")
+@then('the log has no complete changes after {after:d}')
 def check_incomplete(context: Context, after: int) -> None:
-    """Ask for what the log has dropped in part."""
+    """Check that the log does not return incomplete changes."""
     assert context.log.since(after) is None, context.log.since(after)
 
 
-@then('the log tells after {after:d}: {wanted}')
+@then('the log returns after {after:d}: {wanted}')
 def check_log(context: Context, after: int, wanted: str) -> None:
     """Compare the keys and revisions of the changes after a revision."""
     found = context.log.since(after)
@@ -510,7 +510,7 @@
     assert told == wanted, told
 
 
-@when('the store is read whole after one upstream came and one went')
+@when('the store is read in full after one upstream came and one went')
 def read_again(context: Context) -> None:
     """Read the store once more, with two changes."""
     world = context.world
@@ -538,7 +538,7 @@
     assert len(context.decoded) == count, context.decoded
 
 
-@then('the node knows the upstreams that stand')
+@then('the node knows the upstreams of the store')
 def check_standing(context: Context) -> None:
     """Compare the node's upstreams with those of the store."""
     known = context.node.core.updater.upstreams.by_name
--- a/tests/steps/readers_fleet.py
+++ b/tests/steps/readers_fleet.py
@@ -1,4 +1,4 @@
-"""Steps about nodes that share the reading of the store."""
+"""Steps about nodes that share reads of the store."""
 
 from collections import Counter
 
@@ -80,7 +80,7 @@
 
 @when('the reader of "{domain}" loses power')
 def lose_power(context: Context, domain: str) -> None:
-    """Take a reader away without a word."""
+    """Kill a reader abruptly."""
 
     async def step(fleet: SharedFleet) -> None:
         fleet.kill(fleet.reader_of(domain))
@@ -89,8 +89,8 @@
 
 
 @when('all readers lose power')
-def lose_all(context: Context) -> None:
-    """Take all readers away."""
+def lose_all_readers(context: Context) -> None:
+    """Kill all readers abruptly."""
 
     async def step(fleet: SharedFleet) -> None:
         for node in list(fleet.living()):
@@ -100,9 +100,9 @@
     add_step(context, step)
 
 
-@when('the reader of "{domain}" freezes')
+@when('the reader of "{domain}" is paused')
 def freeze(context: Context, domain: str) -> None:
-    """Stop a reader's host."""
+    """Pause a reader's host."""
 
     async def step(fleet: SharedFleet) -> None:
         context.script.selected = fleet.reader_of(domain)
@@ -111,9 +111,9 @@
     add_step(context, step)
 
 
-@when('it wakes')
+@when('it is resumed')
 def wake(context: Context) -> None:
-    """Let it go on."""
+    """Resume the paused host."""
 
     async def step(fleet: SharedFleet) -> None:
         fleet.network.resume(context.script.selected.host)
@@ -132,24 +132,24 @@
     add_step(context, step)
 
 
-@when('the store turns all readers away')
-def turn_readers_away(context: Context) -> None:
+@when('the store refuses all readers')
+def refuse_readers(context: Context) -> None:
     """Let the store refuse the readers."""
 
     async def step(fleet: SharedFleet) -> None:
-        turned = {node.host for node in fleet.living() if node.is_reader}
-        fleet.store.turned_away = turned
+        refused = {node.host for node in fleet.living() if node.is_reader}
+        fleet.store.turned_away = refused
 
     add_step(context, step)
 
 
-@when('the store turns all nodes but the readers away')
-def turn_others_away(context: Context) -> None:
-    """Let the store refuse who does not read for others."""
+@when('the store refuses all nodes but the readers')
+def refuse_others(context: Context) -> None:
+    """Let the store refuse all nodes that are no readers."""
 
     async def step(fleet: SharedFleet) -> None:
-        turned = {node.host for node in fleet.living() if not node.is_reader}
-        fleet.store.turned_away = turned
+        refused = {node.host for node in fleet.living() if not node.is_reader}
+        fleet.store.turned_away = refused
 
     add_step(context, step)
 
@@ -168,7 +168,7 @@
 
 @when('the store is down for {seconds:d} seconds')
 def store_down(context: Context, seconds: int) -> None:
-    """Let the store refuse everything for a while."""
+    """Let the store answer nothing for a while."""
 
     async def step(fleet: SharedFleet) -> None:
         fleet.store.trouble = Trouble.SILENT
@@ -180,7 +180,7 @@
 
 @when('the store\'s trouble is "{trouble}" for {seconds:d} seconds')
 def trouble_store(context: Context, trouble: str, seconds: int) -> None:
-    """Let the store do nothing for a while."""
+    """Let the store fail in one way for a while."""
 
     async def step(fleet: SharedFleet) -> None:
         start_measuring(context.script, fleet)
@@ -191,9 +191,11 @@
     add_step(context, step)
 
 
-@when("the store's open connections fall silent and its history is dropped")
+@when(
+    "the store's open connections stop carrying data and its history is dropped"
+)
 def mute_store(context: Context) -> None:
-    """Let only new connections carry anything."""
+    """Let only new connections carry data."""
 
     async def step(fleet: SharedFleet) -> None:
         start_measuring(context.script, fleet)
@@ -230,11 +232,11 @@
 
 @when('upstreams change, one goes, and the history is dropped')
 def drop_history(context: Context) -> None:
-    """Change the list while no watch hears of it."""
+    """Change the list while no watch receives changes."""
 
     async def step(fleet: SharedFleet) -> None:
         waiting = fleet.store.changed
-        # Watches that wait hear nothing of these changes.
+        # Waiting watches receive none of these changes.
         fleet.store.changed = trio.Event()
         put_upstream(fleet, UPSTREAM_COUNT)
         fleet.store.remove(f'{UPSTREAMS}i-{1:08x}')
@@ -261,7 +263,7 @@
 
 @when('the reader of "{domain}" stops in an orderly way')
 def stop(context: Context, domain: str) -> None:
-    """Let a reader end as at SIGTERM."""
+    """Stop a reader as SIGTERM does."""
 
     async def step(fleet: SharedFleet) -> None:
         node = fleet.reader_of(domain)
@@ -285,7 +287,7 @@
 
 @when('the reader of "{domain}" stops during a renewal')
 def stop_in_renewal(context: Context, domain: str) -> None:
-    """Stop a reader while a call for its lease is under way."""
+    """Stop a reader during a call for its lease."""
 
     async def step(fleet: SharedFleet) -> None:
         node = fleet.reader_of(domain)
@@ -303,7 +305,7 @@
 
 @then('at most {count:d} calls a second were made')
 def check_rate(context: Context, count: int) -> None:
-    """Count the calls since the fleet was settled."""
+    """Count the calls since the start of the measurement."""
 
     async def step(fleet: SharedFleet) -> None:
         seconds = trio.current_time() - context.script.started_at
@@ -315,7 +317,7 @@
 
 @then('at most {count:d} calls were made for it')
 def check_count(context: Context, count: int) -> None:
-    """Count the calls since the last mark, renewals left out."""
+    """Count the calls since the measurement began, without renewals."""
 
     async def step(fleet: SharedFleet) -> None:
         since = fleet.store.calls[context.script.calls :]
@@ -328,7 +330,7 @@
 
 @then('at most {count:d} bytes a second went between nodes for each node')
 def check_bytes(context: Context, count: int) -> None:
-    """Count what nodes sent each other."""
+    """Measure the traffic between nodes."""
 
     async def step(fleet: SharedFleet) -> None:
         seconds = trio.current_time() - context.script.started_at
@@ -339,9 +341,9 @@
     add_check(context, step)
 
 
-@then("no node's knowledge was older than {limit:f} seconds")
+@then("no node's data was older than {limit:f} seconds")
 def check_oldest(context: Context, limit: float) -> None:
-    """Look at the oldest knowledge of any node."""
+    """Check the maximum age of the data of all nodes."""
 
     async def step(fleet: SharedFleet) -> None:
         assert 0 < fleet.oldest <= limit, fleet.oldest
@@ -365,7 +367,7 @@
 
 @then('"{domain}" has another reader')
 def check_other_reader(context: Context, domain: str) -> None:
-    """Look for a reader that is not the one of before."""
+    """Check that the reader is not the previous one."""
 
     async def step(fleet: SharedFleet) -> None:
         reader = fleet.reader_of(domain)
@@ -376,7 +378,7 @@
 
 @then('the same node reads for "{domain}"')
 def check_same_reader(context: Context, domain: str) -> None:
-    """Look for the node that started again."""
+    """Check that the reader is the restarted node."""
 
     async def step(fleet: SharedFleet) -> None:
         assert fleet.reader_of(domain) is context.script.selected
@@ -386,7 +388,7 @@
 
 @then('it is in force on all nodes within {limit:f} seconds')
 def check_in_force(context: Context, limit: float) -> None:
-    """Wait until the last version is everywhere."""
+    """Wait until the last version is in force on all nodes."""
 
     async def step(fleet: SharedFleet) -> None:
         took = await fleet.in_force(fleet.version, limit)
@@ -396,9 +398,9 @@
     add_check(context, step)
 
 
-@then('it is in force on all nodes but the frozen within {limit:f} seconds')
+@then('it is in force on all nodes but the paused one within {limit:f} seconds')
 def check_in_force_but(context: Context, limit: float) -> None:
-    """Wait until the last version is everywhere but on one node."""
+    """Check that the last version is in force on all nodes but one."""
 
     async def step(fleet: SharedFleet) -> None:
         await fleet.run(limit)
@@ -414,7 +416,7 @@
 
 @then('all nodes know the upstreams of the store within {limit:f} seconds')
 def check_upstreams(context: Context, limit: float) -> None:
-    """Compare what nodes know with the store."""
+    """Compare the upstreams of all nodes with the store."""
 
     async def step(fleet: SharedFleet) -> None:
         await fleet.run(limit)
@@ -433,7 +435,7 @@
 
 @given('a node that has read the store')
 def make_progress(context: Context) -> None:
-    """Prepare what a node keeps of its reading."""
+    """Create the sync progress of a node."""
     context.now = 100.0
     context.progress = SyncProgress(clock=lambda: context.now)
     context.progress.reach(5, context.now)
@@ -442,11 +444,11 @@
 
 @when('its machine is suspended for {seconds:d} seconds')
 def suspend(context: Context, seconds: int) -> None:
-    """Let the clock that counts suspended time go on."""
+    """Advance the clock that includes suspended time."""
     context.now += seconds
 
 
-@then('its knowledge is {seconds:d} seconds old')
+@then('its data is {seconds:d} seconds old')
 def check_age(context: Context, seconds: int) -> None:
-    """Look at the age."""
+    """Check the age."""
     assert context.progress.age() == seconds
