--- a/tests/readers/exchange.feature
+++ b/tests/readers/exchange.feature
@@ -37,14 +37,14 @@
 
   Scenario: Followers learn of a reader's failures to reach the store
     # Entries expired while the store was down. The reader has reached it again
-    # for a second; its follower noticed no failure. Until upstreams have had time
-    # to register again, none may count as gone.
+    # for a second; its follower noticed no failure. Until upstreams have had
+    # time to register again, none may count as gone.
     Given a node that knows revision 20 and has requested changes
     When an update reports that the store has worked for 1.0 seconds
     Then the node counts absences from 1.0 seconds ago
 
   Scenario: A new node learns from a reader how long the store has worked
-    Guards against clients that wait until a node has seen the store work itself.
+    Guards against clients that wait until a node has itself seen it work.
     Given a node that knows revision 20 and has requested changes
     When an update reports that the store has worked for 30.0 seconds
     Then the node counts absences from 30.0 seconds ago
--- a/tests/readers/fleet.feature
+++ b/tests/readers/fleet.feature
@@ -5,8 +5,8 @@
 
   Scenario Outline: Calls grow with the domains, not with the nodes
     # A node that watches the store itself makes 0.5 calls a second, 80 nodes
-    # make 40. With one reader per domain, 80 nodes in 3 domains make 4.5, and so
-    # do 9 nodes in 3 domains; a lease renewal counts as one call here.
+    # make 40. With one reader per domain, 80 nodes in 3 domains make 4.5, and
+    # so do 9 nodes in 3 domains; a lease renewal counts as one call here.
     Given a fleet of <nodes> nodes in <domains> domains
     When 10 quiet seconds pass
     Then at most <calls> calls a second were made
@@ -42,7 +42,7 @@
   Scenario: Connections that stop carrying data delay no update
     Guards against reads by all nodes before their reader's call times out.
     Given a fleet of 100 nodes in 5 domains
-    When the store's open connections stop carrying data and its history is dropped
+    When the store's open connections hang and its history is dropped
     And 4 quiet seconds pass
     Then no node's data was older than 2.0 seconds
     And at most 60 calls were made for it
@@ -62,7 +62,7 @@
       | silent  | 300   |
 
   Scenario: A follower that reads the store brings its reader up to date
-    Guards against a domain in which each node waits for its own fallback read.
+    Guards against a domain in which each node waits for its own read.
     Given a fleet of 100 nodes in 5 domains
     When the store refuses all readers
     And a manifest is written
@@ -92,7 +92,7 @@
     And a manifest is written
     Then it is in force on all nodes but the paused one within 2.5 seconds
     When 6 quiet seconds pass
-    And it is resumed
+    And the paused reader is resumed
     And a manifest is written
     Then it is in force on all nodes within 2.5 seconds
     When 5 quiet seconds pass
--- a/tests/steps/readers_fleet.py
+++ b/tests/steps/readers_fleet.py
@@ -5,11 +5,11 @@
 import trio
 from behave import given, then, when
 from behave.runner import Context
-from reading_script import (
+from reading_story import (
     UPSTREAM_COUNT,
     SimulationScript,
-    add_check,
-    add_step,
+    act,
+    check,
     put_upstream,
     start_measuring,
 )
@@ -33,7 +33,7 @@
     async def step(fleet: SharedFleet) -> None:
         fleet.network.faults.loss = share
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('{seconds:d} quiet seconds pass')
@@ -43,7 +43,7 @@
     async def step(fleet: SharedFleet) -> None:
         await fleet.run(seconds)
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('a manifest is written')
@@ -53,7 +53,7 @@
     async def step(fleet: SharedFleet) -> None:
         fleet.put_version()
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('{count:d} manifests are written, one each {gap:d} seconds')
@@ -65,7 +65,7 @@
             fleet.put_version()
             await fleet.run(gap)
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('a manifest of {routes:d} routes is written')
@@ -75,7 +75,7 @@
     async def step(fleet: SharedFleet) -> None:
         fleet.put_version(routes)
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('the reader of "{domain}" loses power')
@@ -85,7 +85,7 @@
     async def step(fleet: SharedFleet) -> None:
         fleet.kill(fleet.reader_of(domain))
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('all readers lose power')
@@ -97,7 +97,7 @@
             if node.is_reader:
                 fleet.kill(node)
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('the reader of "{domain}" is paused')
@@ -108,17 +108,17 @@
         context.script.selected = fleet.reader_of(domain)
         fleet.network.pause(context.script.selected.host)
 
-    add_step(context, step)
+    act(context, step)
 
 
-@when('it is resumed')
+@when('the paused reader is resumed')
 def wake(context: Context) -> None:
     """Resume the paused host."""
 
     async def step(fleet: SharedFleet) -> None:
         fleet.network.resume(context.script.selected.host)
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('the reader of "{domain}" is cut off from the store')
@@ -129,7 +129,7 @@
         context.script.selected = fleet.reader_of(domain)
         fleet.network.cut([context.script.selected.host], [STORE.host])
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('the store refuses all readers')
@@ -140,7 +140,7 @@
         refused = {node.host for node in fleet.living() if node.is_reader}
         fleet.store.turned_away = refused
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('the store refuses all nodes but the readers')
@@ -151,7 +151,7 @@
         refused = {node.host for node in fleet.living() if not node.is_reader}
         fleet.store.turned_away = refused
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('"{domain}" is cut off from the other domains')
@@ -163,7 +163,7 @@
         far = [n.host for n in fleet.nodes if n.settings.domain != domain]
         fleet.network.cut(near, far)
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('the store is down for {seconds:d} seconds')
@@ -175,7 +175,7 @@
         await fleet.run(seconds)
         fleet.store.trouble = Trouble.NONE
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('the store\'s trouble is "{trouble}" for {seconds:d} seconds')
@@ -188,12 +188,10 @@
         await fleet.run(seconds)
         fleet.store.trouble = Trouble.NONE
 
-    add_step(context, step)
+    act(context, step)
 
 
-@when(
-    "the store's open connections stop carrying data and its history is dropped"
-)
+@when("the store's open connections hang and its history is dropped")
 def mute_store(context: Context) -> None:
     """Let only new connections carry data."""
 
@@ -202,7 +200,7 @@
         fleet.store.muted = fleet.store.connections
         fleet.store.compact()
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('{nodes:d} nodes in {domains:d} domains start together')
@@ -213,7 +211,7 @@
     async def step(_: SharedFleet) -> None:
         context.script.calls = 0
 
-    add_step(context, step)
+    act(context, step)
 
 
 @then('calls worth at most {most:d} were made')
@@ -227,7 +225,7 @@
         worth = len(fleet.store.calls) - cheap * 0.9
         assert worth <= most, worth
 
-    add_check(context, step)
+    check(context, step)
 
 
 @when('upstreams change, one goes, and the history is dropped')
@@ -244,7 +242,7 @@
         waiting.set()
         start_measuring(context.script, fleet)
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('the process of the reader of "{domain}" is killed and starts again')
@@ -258,7 +256,7 @@
         name = node.settings.name
         context.script.selected = await fleet.add_node(domain, name=name)
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('the reader of "{domain}" stops in an orderly way')
@@ -272,7 +270,7 @@
         await fleet.run(1)
         fleet.kill(node, silent=False)
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('the store answers each call {seconds:f} seconds late')
@@ -282,7 +280,7 @@
     async def step(fleet: SharedFleet) -> None:
         fleet.store.delay_seconds = seconds
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('the reader of "{domain}" stops during a renewal')
@@ -300,7 +298,7 @@
         await node.store_sync.leave()
         fleet.kill(node, silent=False)
 
-    add_step(context, step)
+    act(context, step)
 
 
 @then('at most {count:d} calls a second were made')
@@ -312,7 +310,7 @@
         rate = (len(fleet.store.calls) - context.script.calls) / seconds
         assert rate <= count, rate
 
-    add_check(context, step)
+    check(context, step)
 
 
 @then('at most {count:d} calls were made for it')
@@ -325,7 +323,7 @@
         made = sum(n for call, n in kinds.items() if 'keep' not in call)
         assert made <= count, kinds
 
-    add_check(context, step)
+    check(context, step)
 
 
 @then('at most {count:d} bytes a second went between nodes for each node')
@@ -338,7 +336,7 @@
         each = sent / seconds / len(fleet.nodes)
         assert each <= count, each
 
-    add_check(context, step)
+    check(context, step)
 
 
 @then("no node's data was older than {limit:f} seconds")
@@ -348,7 +346,7 @@
     async def step(fleet: SharedFleet) -> None:
         assert 0 < fleet.oldest <= limit, fleet.oldest
 
-    add_check(context, step)
+    check(context, step)
 
 
 @then('each domain has one reader')
@@ -362,7 +360,7 @@
         wanted = {f'd{n}': 1 for n in range(context.script.domains)}
         assert found == wanted, found
 
-    add_check(context, step)
+    check(context, step)
 
 
 @then('"{domain}" has another reader')
@@ -373,7 +371,7 @@
         reader = fleet.reader_of(domain)
         assert reader is not context.script.selected
 
-    add_check(context, step)
+    check(context, step)
 
 
 @then('the same node reads for "{domain}"')
@@ -383,7 +381,7 @@
     async def step(fleet: SharedFleet) -> None:
         assert fleet.reader_of(domain) is context.script.selected
 
-    add_check(context, step)
+    check(context, step)
 
 
 @then('it is in force on all nodes within {limit:f} seconds')
@@ -395,7 +393,7 @@
         shown = Counter(node.version for node in fleet.living())
         assert took <= limit, (took, shown, fleet.version)
 
-    add_check(context, step)
+    check(context, step)
 
 
 @then('it is in force on all nodes but the paused one within {limit:f} seconds')
@@ -411,7 +409,7 @@
         ]
         assert old in ([], [context.script.selected.settings.name]), old
 
-    add_check(context, step)
+    check(context, step)
 
 
 @then('all nodes know the upstreams of the store within {limit:f} seconds')
@@ -430,7 +428,7 @@
             found = {name for name, one in known if not one.absent_since}
             assert found == wanted, found ^ wanted
 
-    add_check(context, step)
+    check(context, step)
 
 
 @given('a node that has read the store')
--- a/tests/steps/readers_slow_links.py
+++ b/tests/steps/readers_slow_links.py
@@ -2,9 +2,9 @@
 
 from behave import given, then, when
 from behave.runner import Context
-from reading_script import (
-    add_check,
-    add_step,
+from reading_story import (
+    act,
+    check,
     put_upstream,
 )
 
@@ -34,7 +34,7 @@
     async def step(fleet: SharedFleet) -> None:
         slow_down(fleet, megabits, readers=False)
 
-    add_step(context, step)
+    act(context, step)
 
 
 @given('links of {megabits:d} Mbit/s for all nodes')
@@ -44,7 +44,7 @@
     async def step(fleet: SharedFleet) -> None:
         slow_down(fleet, megabits, readers=True)
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('a manifest of {routes:d} routes is written {times:d} times')
@@ -81,7 +81,7 @@
             await fleet.run(seconds)
             fleet.put_version(routes)
 
-    add_step(context, step)
+    act(context, step)
 
 
 @when('an upstream starts to leave')
@@ -91,7 +91,7 @@
     async def step(fleet: SharedFleet) -> None:
         put_upstream(fleet, LEAVING, state='draining')
 
-    add_step(context, step)
+    act(context, step)
 
 
 @then('no node gives it new flows after {limit:f} seconds')
@@ -109,4 +109,4 @@
         ]
         assert not late, late
 
-    add_check(context, step)
+    check(context, step)
