--- a/tests/readers/exchange.feature
+++ b/tests/readers/exchange.feature
@@ -79,7 +79,7 @@
     # A node with old data got two versions of a large manifest in one answer,
     # and delayed packets while it decoded one that was already replaced.
     Given a node that knows the store
-    When it receives manifests 2, 3 and 4 at once
+    When one answer contains manifests 2, 3 and 4
     Then 1 entries were decoded
     And manifest 4 is in force
 
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -408,7 +408,7 @@
     updater.decode = count
 
 
-@when('it receives manifests {first:d}, {second:d} and {third:d} at once')
+@when('one answer contains manifests {first:d}, {second:d} and {third:d}')
 def tell_versions(
     context: Context,
     first: int,
