--- a/tests/steps/membership_fleet.py
+++ b/tests/steps/membership_fleet.py
@@ -1,4 +1,4 @@
-"""Steps about the fleet: each check runs the script so far from its seed."""
+"""Steps about a fleet: each check runs the script so far from its seed."""
 
 import trio
 from behave import given, then, when
@@ -9,7 +9,7 @@
 
 
 def member_counts(world: World, domain: str) -> dict[str, int]:
-    """Return how many live members each VM that is not paused counts."""
+    """Return the number of live members on each VM that is not paused."""
     return {
         name: len(running.node.membership.live(domain))
         for name, running in world.nodes.items()
@@ -45,7 +45,7 @@
 
 @given("the fleet's platform list has stopped changing")
 def freeze_list(context: Context) -> None:
-    """Let the list answer what it knows now."""
+    """Freeze the content of the list."""
 
     async def step(world: World) -> None:
         world.platform.faults.list_stale_at = world.platform.revision
@@ -55,7 +55,7 @@
 
 @when('the fleet runs for {seconds:g} seconds')
 def run_fleet(context: Context, seconds: float) -> None:
-    """Let time pass."""
+    """Advance the time."""
 
     async def step(world: World) -> None:
         await trio.sleep(seconds)
@@ -63,7 +63,7 @@
     add_step(context, step)
 
 
-@when('the fleet loses "{names}" without a word')
+@when('the fleet loses "{names}" abruptly')
 def lose_nodes(context: Context, names: str) -> None:
     """Kill entry VMs."""
 
@@ -112,7 +112,7 @@
 
 @when('the fleet\'s "{name}" is paused for {seconds:g} seconds')
 def pause_node(context: Context, name: str, seconds: float) -> None:
-    """Freeze a VM and let it go on."""
+    """Pause a VM and resume it."""
 
     async def step(world: World) -> None:
         host = world.nodes[name].host
@@ -133,9 +133,9 @@
     add_step(context, step)
 
 
-@when('the fleet\'s "{name}" hears nothing from "{other}"')
+@when('the fleet\'s "{name}" receives nothing from "{other}"')
 def cut_one_way(context: Context, name: str, other: str) -> None:
-    """Cut one way between two VMs."""
+    """Drop packets in one direction between two VMs."""
 
     async def step(world: World) -> None:
         some = [world.nodes[other].host]
@@ -146,7 +146,7 @@
 
 @when('the fleet\'s "{name}" is cut off from all others')
 def cut_one_off(context: Context, name: str) -> None:
-    """Cut a VM off."""
+    """Partition a VM from all others."""
 
     async def step(world: World) -> None:
         others = [
@@ -159,7 +159,7 @@
 
 @when('the fleet\'s domain "{domain}" is cut off from "{other}"')
 def cut_domains(context: Context, domain: str, other: str) -> None:
-    """Cut two failure domains off from each other."""
+    """Partition two failure domains."""
 
     async def step(world: World) -> None:
         world.network.cut(hosts(world, domain), hosts(world, other))
@@ -169,7 +169,7 @@
 
 @when("the fleet's cuts heal")
 def heal(context: Context) -> None:
-    """Undo every cut."""
+    """Heal all partitions."""
 
     async def step(world: World) -> None:
         world.network.heal()
@@ -181,7 +181,7 @@
 def check_count(
     context: Context, seconds: float, count: int, domain: str
 ) -> None:
-    """Check what every VM believes."""
+    """Check the number of members on every VM."""
 
     async def step(world: World) -> None:
         await wait_for(
@@ -197,7 +197,7 @@
 def check_one(
     context: Context, seconds: float, name: str, count: int, domain: str
 ) -> None:
-    """Check what one VM believes."""
+    """Check the number of members on one VM."""
 
     async def step(world: World) -> None:
         await wait_for(
@@ -213,7 +213,7 @@
 def check_steady(
     context: Context, seconds: float, count: int, domain: str
 ) -> None:
-    """Check that nobody is lost meanwhile."""
+    """Check that no member is lost meanwhile."""
 
     async def step(world: World) -> None:
         deadline = trio.current_time() + seconds
@@ -227,7 +227,7 @@
 
 @then('the fleet\'s "{name}" is quorate within {seconds:g} s')
 def check_quorate(context: Context, name: str, seconds: float) -> None:
-    """Check that a VM hears its domain."""
+    """Check that a VM is quorate."""
 
     async def step(world: World) -> None:
         members = world.nodes[name].node.membership
@@ -238,7 +238,7 @@
 
 @then('the fleet\'s "{name}" is not quorate within {seconds:g} s')
 def check_not_quorate(context: Context, name: str, seconds: float) -> None:
-    """Check that a VM notices that it hears nobody."""
+    """Check that a VM is not quorate."""
 
     async def step(world: World) -> None:
         members = world.nodes[name].node.membership
@@ -249,7 +249,7 @@
 
 @then('the fleet has suspected nobody')
 def check_unsuspected(context: Context) -> None:
-    """Check that no member was ever doubted."""
+    """Check that no member was ever suspected."""
 
     async def step(world: World) -> None:
         for name, running in world.nodes.items():
@@ -273,7 +273,7 @@
 
 @then('each VM of the fleet sends at most {limit:d} bytes a second')
 def check_bytes(context: Context, limit: int) -> None:
-    """Measure what the fleet's heartbeats cost."""
+    """Measure the traffic of the fleet's heartbeats."""
 
     async def step(world: World) -> None:
         before = {
--- a/tests/steps/readers_slow_links.py
+++ b/tests/steps/readers_slow_links.py
@@ -1,4 +1,4 @@
-"""Steps about nodes whose links carry little."""
+"""Steps about nodes with slow links."""
 
 from behave import given, then, when
 from behave.runner import Context
@@ -14,12 +14,12 @@
 
 MEGABIT_BYTES = 125_000
 LEAVING = 3
-# What operators' writes of such a manifest take.
+# Duration of an operator's write of such a manifest, in seconds.
 WRITE_SECONDS = 0.9
 
 
-def slow_down(fleet: SharedFleet, megabits: int, *, readers: bool) -> None:
-    """Give nodes links that carry little."""
+def limit_links(fleet: SharedFleet, megabits: int, *, readers: bool) -> None:
+    """Limit the bandwidth of nodes' links."""
     for node in fleet.living():
         if readers or not node.is_reader:
             rate = megabits * MEGABIT_BYTES
@@ -28,28 +28,28 @@
 
 
 @given('links of {megabits:d} Mbit/s for all nodes but the readers')
-def slow_followers(context: Context, megabits: int) -> None:
-    """Let the nodes that read for their domains have better links."""
+def limit_followers(context: Context, megabits: int) -> None:
+    """Limit the links of all nodes but the readers."""
 
     async def step(fleet: SharedFleet) -> None:
-        slow_down(fleet, megabits, readers=False)
+        limit_links(fleet, megabits, readers=False)
 
     act(context, step)
 
 
 @given('links of {megabits:d} Mbit/s for all nodes')
-def slow_all(context: Context, megabits: int) -> None:
-    """Give all nodes such links."""
+def limit_all(context: Context, megabits: int) -> None:
+    """Limit the links of all nodes."""
 
     async def step(fleet: SharedFleet) -> None:
-        slow_down(fleet, megabits, readers=True)
+        limit_links(fleet, megabits, readers=True)
 
     act(context, step)
 
 
 @when('a manifest of {routes:d} routes is written {times:d} times')
 def write_again(context: Context, routes: int, times: int) -> None:
-    """Write versions of a large manifest, each as soon as the last is in."""
+    """Write versions of a large manifest, one after the other."""
 
     write_series(context, routes, times, WRITE_SECONDS)
 
@@ -59,7 +59,7 @@
     'and again {seconds:f} seconds later',
 )
 def write_soon_again(context: Context, routes: int, seconds: float) -> None:
-    """Write another version while nodes read the one before."""
+    """Write another version while nodes read the previous one."""
     write_series(context, routes, 2, seconds)
 
 
@@ -86,7 +86,7 @@
 
 @when('an upstream starts to leave')
 def leave(context: Context) -> None:
-    """Let an upstream tell that it leaves."""
+    """Let an upstream announce its leave."""
 
     async def step(fleet: SharedFleet) -> None:
         put_upstream(fleet, LEAVING, state='draining')
@@ -95,8 +95,8 @@
 
 
 @then('no node gives it new flows after {limit:f} seconds')
-def check_left(context: Context, limit: float) -> None:
-    """Look at what each node believes of it."""
+def check_draining(context: Context, limit: float) -> None:
+    """Check the state of the upstream on each node."""
 
     async def step(fleet: SharedFleet) -> None:
         await fleet.run(limit)
