--- a/tests/documents/schema.feature
+++ b/tests/documents/schema.feature
@@ -1,13 +1,13 @@
 Feature: The schema of a service's document
-  A half-valid document must change nothing, and its team must see which line
-  to mend: the path, the wrong value and the cure.
+  An invalid document must change nothing, and its team must see which line to
+  correct: the path, the wrong value and a hint.
 
-  Scenario Outline: A fault in a document is named
+  Scenario Outline: An error names path, value and hint
     Given a schema text with <line> in its upstream
-    Then the schema refuses it with <path>, <value> and <cure>
+    Then the schema refuses it with <path>, <value> and <hint>
 
     Examples:
-      | line             | path                   | value       | cure        |
+      | line             | path                   | value       | hint        |
       | slotz = 2        | upstreams[0].slotz     | 2           | write slots |
       | slots = "two"    | upstreams[0].slots     | 'two'       | document.md |
       | slots = 0        | upstreams[0].slots     | 0           | at least 1  |
@@ -16,10 +16,10 @@
       | name = "a/b"     | upstreams[0].name      | 'a/b'       | slash       |
       | edits = []       | upstreams[0].edits     | []          | take it out |
 
-  Scenario: What acceptance writes is not a team's to set
+  Scenario: A team must not set fields that acceptance writes
     Given a schema text with edit_id = "forged" at its top
     Then the schema refuses it with edit_id, 'forged' and take it out
 
-  Scenario: A whole document is read
+  Scenario: A valid document is read
     Given a schema text with slots = 3 in its upstream
     Then the schema reads 3 slots
--- a/tests/readers/slow_links.feature
+++ b/tests/readers/slow_links.feature
@@ -5,10 +5,10 @@
   Scenario: A manifest that grows and changes again is in force in time
     # Callers were routed by a manifest that had been replaced more than five
     # seconds before. It had grown by many routes and changed again within a
-    # second. The timeout of a store call covered its complete answer, which took
-    # longer over a slow link, so nodes repeated the call for 20 seconds. The
-    # store answered every call, only nodes with slow links were late, and their
-    # logs show 838 truncated answers, none with more than 452 of 622 KB.
+    # second. The timeout of a store call covered its complete answer, which
+    # took longer over a slow link, so nodes repeated the call for 20 seconds.
+    # The store answered every call, only nodes with slow links were late, and
+    # their logs show 838 truncated answers, none with more than 452 of 622 KB.
     Given a fleet of 12 nodes in 3 domains
     And links of 5 Mbit/s for all nodes but the readers
     When a manifest of 1500 routes is written 2 times
@@ -26,10 +26,10 @@
     Then no node gives it new flows after 5.0 seconds
 
   Scenario: A node reads a change that exceeds a datagram at once
-    # A change was in force two seconds late on most nodes. Their reader had sent
-    # them at once that its changes exceed a datagram, but they slept until their
-    # data was two seconds old. Their logs show over a second between "changes
-    # left to the store" and the call.
+    # A change was in force two seconds late on most nodes. Their reader had
+    # sent them at once that its changes exceed a datagram, but they slept until
+    # their data was two seconds old. Their logs show over a second between
+    # "changes left to the store" and the call.
     Given a fleet of 12 nodes in 3 domains
     When a manifest of 1500 routes is written 1 times
     Then it is in force on all nodes within 0.7 seconds
--- a/tests/steps/documents_acceptance.py
+++ b/tests/steps/documents_acceptance.py
@@ -56,7 +56,7 @@
 
 
 def edit(context: Context, slots: int, expected: int | None = None) -> None:
-    """Put a document with other slots and keep what came of it."""
+    """Put a document with other slots and store the outcome."""
     upstream = attrs.evolve(context.upstream, slots=slots)
     document = attrs.evolve(context.document, upstreams=(upstream,))
 
@@ -107,15 +107,15 @@
     edit(context, slots)
 
 
-@when('acceptance of an edit to {slots:d} slots loses the store for good')
+@when('acceptance of an edit to {slots:d} slots loses the store permanently')
 def lose_store(context: Context, slots: int) -> None:
-    """Let the store go down after the first read."""
+    """Take the store down after the first read."""
     lose_store_for(context, slots, 1000)
 
 
 @when('acceptance of an edit to {slots:d} slots loses the store for {some:d} s')
 def lose_store_for(context: Context, slots: int, some: int) -> None:
-    """Let the store go down after the first read, and come back."""
+    """Take the store down after the first read, for some seconds."""
     upstream = attrs.evolve(context.upstream, slots=slots)
     document = attrs.evolve(context.document, upstreams=(upstream,))
     platform = context.platform
@@ -173,22 +173,22 @@
     edit(context, slots)
 
 
-@then('acceptance tells revision {revision:d}')
+@then('acceptance returns revision {revision:d}')
 def check_revision(context: Context, revision: int) -> None:
-    """Check the revision that the operator is told."""
+    """Check the revision that acceptance returns."""
     assert context.accepted.revision == revision, context.accepted
     assert not context.accepted.overtaken
 
 
-@then('acceptance tells that the edit was overtaken')
+@then('acceptance reports the edit as overtaken')
 def check_overtaken(context: Context) -> None:
-    """Check that our edit was found below another."""
+    """Check that the edit was found below a newer one."""
     assert context.accepted.overtaken, context.accepted
 
 
 @then("acceptance fails with {code} and the edit's id")
 def check_unknown(context: Context, code: str) -> None:
-    """Check that an unknown outcome is said to be unknown."""
+    """Check that an unknown outcome is reported as unknown."""
     assert context.error.code == code, context.error
     assert 'look for edit' in context.error.hint
 
@@ -211,13 +211,13 @@
 
 @then('the accepted document has {slots:d} slots')
 def check_slots(context: Context, slots: int) -> None:
-    """Check what stands in the store."""
+    """Check the stored document."""
     assert stored(context).upstreams[0].slots == slots
 
 
 @then('the accepted document has a deadline of {seconds:g} s')
 def check_deadline(context: Context, seconds: float) -> None:
-    """Check what stands in the store."""
+    """Check the stored document."""
     assert stored(context).deadline_seconds == seconds
 
 
--- a/tests/steps/documents_dissemination.py
+++ b/tests/steps/documents_dissemination.py
@@ -55,7 +55,7 @@
 
 @when('the store accepts a deadline of {seconds:g} s over it')
 def accept_over(context: Context, seconds: float) -> None:
-    """Write over a record that nobody can read, as its tool would."""
+    """Overwrite an invalid record without acceptance."""
 
     async def step(world: World) -> None:
         document = attrs.evolve(DOCUMENT, deadline_seconds=seconds)
@@ -75,9 +75,9 @@
     add_step(context, step)
 
 
-@when('the store is given a document that nobody can read')
+@when('the store is given an invalid document')
 def put_unreadable(context: Context) -> None:
-    """Write a broken record."""
+    """Write an invalid record."""
 
     async def step(world: World) -> None:
         world.platform.put(keys.document_key(SERVICE), b'{"service": 1}')
@@ -128,7 +128,7 @@
 
 @when('the fleet\'s "{name}" is cut off from all others and the store')
 def cut_off_store(context: Context, name: str) -> None:
-    """Cut a VM off from everything."""
+    """Partition a VM from all others and from the store."""
 
     async def step(world: World) -> None:
         others = [
@@ -157,7 +157,7 @@
     'fleet'
 )
 def check_deadline(context: Context, seconds: float, value: float) -> None:
-    """Check what is in force everywhere."""
+    """Check the deadline in force on every VM."""
 
     async def step(world: World) -> None:
         await wait_for(
@@ -171,7 +171,7 @@
 
 @then('within {seconds:g} s no service is in force on the whole fleet')
 def check_deleted(context: Context, seconds: float) -> None:
-    """Check that a deletion is in force everywhere."""
+    """Check that no service is in force on any VM."""
     check_deadline(context, seconds, 0)
 
 
@@ -211,7 +211,7 @@
 
 @then("the fleet's VMs all sign with the new key")
 def check_keys(context: Context) -> None:
-    """Check that the new key is everywhere."""
+    """Check that every VM uses the new key."""
 
     async def step(world: World) -> None:
         rings = [running.node.keys.ring for running in world.nodes.values()]
--- a/tests/steps/documents_schema.py
+++ b/tests/steps/documents_schema.py
@@ -36,20 +36,22 @@
     context.toml = text_with((*TOP, line), 'slots = 2')
 
 
-@then('the schema refuses it with {path}, {value} and {cure}')
-def check_fault(context: Context, path: str, value: str, cure: str) -> None:
-    """Check that the error names path, value and cure."""
+@then('the schema refuses it with {path}, {value} and {expected_hint}')
+def check_error_text(
+    context: Context, path: str, value: str, expected_hint: str
+) -> None:
+    """Check that the error names path, value and hint."""
     try:
         parse_document(context.toml)
     except DocumentInvalidError as error:
         assert error.message.startswith(path), error
         assert value in error.message, error
-        assert cure in error.hint, error
+        assert expected_hint in error.hint, error
         return
     raise AssertionError('the document was read')
 
 
 @then('the schema reads {slots:d} slots')
 def check_read(context: Context, slots: int) -> None:
-    """Check that a whole document is read."""
+    """Check that a valid document is read."""
     assert parse_document(context.toml).upstreams[0].slots == slots
--- a/tests/steps/peers_envelope.py
+++ b/tests/steps/peers_envelope.py
@@ -18,7 +18,7 @@
 
 
 class StoppedClock:
-    """Tell one time."""
+    """Return a constant time."""
 
     def now(self) -> float:
         """Return a time of day."""
@@ -26,7 +26,7 @@
 
 
 class NoSocket:
-    """Send nothing."""
+    """Drop all datagrams."""
 
     local = PEER
 
@@ -39,7 +39,7 @@
         return True
 
     def close(self) -> None:
-        """Have nothing to close."""
+        """Do nothing."""
 
 
 def sealer(ring: KeyHolder, name: str) -> EnvelopeSealer:
@@ -82,7 +82,7 @@
     context.channel.dispatch(foreign.seal(RecordPull(after=1)), PEER)
 
 
-@when("a peer's datagram has a key of long ago")
+@when("a peer's datagram is signed with a retired key")
 def send_old(context: Context) -> None:
     """Send a datagram that was sealed two rotations ago."""
     payload = context.sender.seal(RecordPull(after=1))
@@ -136,7 +136,7 @@
 
 @then('the peer remembers at most {limit:d} senders')
 def check_memory(context: Context, limit: int) -> None:
-    """Let more senders than fit send one datagram each."""
+    """Accept one datagram each of more senders than are remembered."""
     guard = ReplayGuard()
     for number in range(limit + 100):
         assert guard.accept(number.to_bytes(4, 'big'), 1)
