--- a/tests/documents/acceptance.feature
+++ b/tests/documents/acceptance.feature
@@ -3,8 +3,8 @@
   another one, also if answers are lost.
 
   Scenario: An answer is lost after the write took effect
-    The operator's command gets no answer. Another write would be a second edit,
-    and an error would report an edit as failed that is in force.
+    The operator's command gets no answer. Another write would be a second edit;
+    an error would report an edit as failed that is in force.
 
     Given an accepted document with 2 slots
     When acceptance loses the answer of an edit to 3 slots
