--- a/tests/documents/acceptance.feature
+++ b/tests/documents/acceptance.feature
@@ -13,8 +13,8 @@
 
   Scenario: An answer is lost and another operator edits on top
     The write took effect, its answer was lost, and before it is read back
-    another operator changes the deadline. The newest edit id in the record is
-    then another one, but the edit is still in force below it.
+    another operator changes the deadline. The record's newest edit id is that
+    of the other edit, but the first one is still in force below it.
 
     Given an accepted document with 2 slots
     When acceptance loses the answer of an edit to 3 slots and another follows
