--- a/burdocksill/documents/acceptance.py
+++ b/burdocksill/documents/acceptance.py
@@ -288,7 +288,7 @@
         found = error.stored.value.decode() if error.stored else 'nothing'
         raise DocumentConflictError(
             message=(
-                f'{domain}: somebody else wrote {found} while you wrote '
+                f'{domain}: another operator wrote {found} while you wrote '
                 f'{state.value}'
             ),
             hint='look at: burdocksill domain list; then decide again',
--- a/burdocksill/documents/gossip.py
+++ b/burdocksill/documents/gossip.py
@@ -61,7 +61,7 @@
         self.store.listeners.append(self.mark_digest_outdated)
 
     def mark_digest_outdated(self) -> None:
-        """Have the digest computed anew when it is used next.
+        """Invalidate the digest, which is computed again on its next use.
 
         A snapshot of thousands of records causes one change for each.
         """
--- a/burdocksill/membership/quorum.py
+++ b/burdocksill/membership/quorum.py
@@ -8,7 +8,7 @@
 from burdocksill.membership.table import MemberTable
 
 WINDOW_SECONDS: Final = 3.0
-# Below this, a majority can't tell a dead member from a partition.
+# Below this, a majority can't distinguish a dead member from a partition.
 MIN_PROBED: Final = 2
 
 
--- a/burdocksill/membership/swim.py
+++ b/burdocksill/membership/swim.py
@@ -230,7 +230,7 @@
     def retry_dead(self, now: float) -> None:
         """Probe a dead member at times, as a partition may have healed.
 
-        Both sides of a partition believe the other dead and would not probe
+        Both sides of a partition have the other as dead and would not probe
         it again. A member that answers learns its state and refutes it.
         """
         if now - self.retried_at < RETRY_DEAD_SECONDS:
--- a/burdocksill/readers/subscription.py
+++ b/burdocksill/readers/subscription.py
@@ -143,7 +143,7 @@
             return 0
         age = self.store_cache.age()
         if self.is_reader and age < MAX_AGE_SECONDS:
-            # A reader asks others only while it does not reach the store.
+            # A reader requests updates only while it does not reach the store.
             return MAX_AGE_SECONDS - age
         if age >= REQUEST_AGE_SECONDS:
             gap = SLOW_RETRY_SECONDS if age > MAX_AGE_SECONDS else RETRY_SECONDS
