--- a/burdocksill/membership/quorum.py
+++ b/burdocksill/membership/quorum.py
@@ -8,7 +8,8 @@
 from burdocksill.membership.table import MemberTable
 
 WINDOW_SECONDS: Final = 3.0
-# Below this, a majority can't distinguish a dead member from a partition.
+# In a domain of one or two members no majority can distinguish a dead member
+# from a partition.
 MIN_PROBED: Final = 2
 
 
