--- a/burdocksill/membership/beliefs.py
+++ b/burdocksill/membership/beliefs.py
@@ -1,4 +1,4 @@
-"""Doubt, bury, refute and announce: how beliefs on members change."""
+"""State changes of members: suspect, confirm dead, refute and announce."""
 
 import logging
 import math
@@ -7,174 +7,174 @@
 import attrs
 import trio
 
+from burdocksill.membership.broadcasts import BroadcastQueue, StateUpdate
 from burdocksill.membership.contacts import DomainContacts
 from burdocksill.membership.listed import ENTRY_ROLE, member_of
 from burdocksill.membership.protocols import Member, MemberState
-from burdocksill.membership.rumours import RumourQueue, StateRumour
-from burdocksill.membership.table import KnownMember, MemberTable
+from burdocksill.membership.table import MemberEntry, MemberTable
 from burdocksill.observe.counters import Counters
 from burdocksill.platform.protocols import VmRecord, VmState
 
 SUSPICION_SECONDS: Final = 1.0
-# Each doubling of a domain takes gossip about one more round.
+# Each doubling of a domain's size takes gossip about one more round.
 SUSPICION_STEP_SECONDS: Final = 0.1
-# A dead member is asked for so long, then now and then only.
-REFORM_SECONDS: Final = 5.0
-# Longer than the platform's list lags, so that it cannot bring back the dead.
+# A dead member is still probed in turn for this long, then only at times.
+DEAD_PROBE_SECONDS: Final = 5.0
+# Longer than the lag of the platform's list, which must not add dead members.
 TOMBSTONE_SECONDS: Final = 900.0
 
 logger = logging.getLogger(__name__)
 
 
 @attrs.define(kw_only=True)
-class Beliefs:
-    """Change what is believed of members, and tell the others."""
+class MemberStates:
+    """Apply state changes of members, and gossip them."""
 
     table: MemberTable
     counters: Counters
-    rumours: RumourQueue = attrs.field(init=False)
+    broadcasts: BroadcastQueue = attrs.field(init=False)
     contacts: DomainContacts = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Tell of this VM first."""
-        self.rumours = RumourQueue(table=self.table)
+        """Gossip the local member first."""
+        self.broadcasts = BroadcastQueue(table=self.table)
         self.contacts = DomainContacts(table=self.table)
-        self.rumours.add(self.local_member.tag, introduce=True)
+        self.broadcasts.add(self.local_member.tag, introduce=True)
 
     @property
     def local_member(self) -> Member:
-        """Return this VM."""
+        """Return the member of this VM."""
         return self.table.local_member
 
-    def take_list(self, records: tuple[VmRecord, ...]) -> None:
-        """Believe the list only on members that nobody has told of.
+    def apply_list(self, records: tuple[VmRecord, ...]) -> None:
+        """Add listed members that gossip has not reported yet.
 
-        It lags: a VM that it lacks may be alive, and one that it shows may
-        be dead, so it neither kills a member nor brings one back.
+        The list lags: a VM that it lacks may be alive, and one that it shows
+        may be dead. So it neither removes nor revives a member.
         """
         now = trio.current_time()
         for record in records:
             member = member_of(record)
-            held = self.table.find(member.tag)
+            entry = self.table.find(member.tag)
             listed = record.state is VmState.LIVE
-            if held is None and listed and record.role == ENTRY_ROLE:
+            if entry is None and listed and record.role == ENTRY_ROLE:
                 self.merge(member)
-            elif held is not None and held.state is MemberState.DEAD:
-                # The list still names it: keep the tombstone, ask no more.
-                held.since = max(held.since, now - 2 * REFORM_SECONDS)
+            elif entry is not None and entry.state is MemberState.DEAD:
+                # Still listed: keep the tombstone, and stop probing it.
+                entry.since = max(entry.since, now - 2 * DEAD_PROBE_SECONDS)
 
-    def resume(self, now: float) -> None:
-        """Start all suspicions anew: what we missed says nothing of them."""
+    def restart_suspicions(self, now: float) -> None:
+        """Restart all suspicions: messages may have been missed in a pause."""
         self.counters.add('pauses_noticed')
-        logger.warning('this VM stood still')
-        for held in self.table.known.values():
-            held.since = now
-        for domain in self.contacts.heard_at:
-            self.contacts.hear(domain, now)
-
-    def judge(self, now: float) -> None:
-        """End the suspicions that are due and forget the long dead."""
-        patience = self.patience()
-        for held in self.table.in_doubt():
-            age = now - held.since
-            if held.state is MemberState.DEAD and age > TOMBSTONE_SECONDS:
-                self.table.forget(held.member.tag)
-            if held.state is MemberState.SUSPECT and age >= patience:
-                self.end_suspicion(held)
-
-    def patience(self) -> float:
-        """Return how long a member stays suspect before it counts as dead."""
+        logger.warning('event loop was paused')
+        for entry in self.table.known.values():
+            entry.since = now
+        for domain in self.contacts.received_at:
+            self.contacts.record_received(domain, now)
+
+    def end_due_suspicions(self, now: float) -> None:
+        """End the suspicions that are due, and drop old tombstones."""
+        timeout = self.suspicion_seconds()
+        for entry in self.table.unhealthy_entries():
+            age = now - entry.since
+            if entry.state is MemberState.DEAD and age > TOMBSTONE_SECONDS:
+                self.table.remove(entry.member.tag)
+            if entry.state is MemberState.SUSPECT and age >= timeout:
+                self.end_suspicion(entry)
+
+    def suspicion_seconds(self) -> float:
+        """Return the seconds until a suspect member is confirmed dead."""
         members = len(self.table.live(self.local_member.domain))
         doublings = math.log2(members + 1)
         return SUSPICION_SECONDS + SUSPICION_STEP_SECONDS * doublings
 
-    def end_suspicion(self, held: KnownMember) -> None:
-        """Clear a member that we have heard ourselves, bury one we have not.
+    def end_suspicion(self, entry: MemberEntry) -> None:
+        """Clear a member that has sent a message since, or confirm it dead.
 
-        Other domains are not probed from here: a suspicion of theirs that
-        outlives gossip is left to them, or their cut would bury them all.
+        Members of other domains are not probed from here. Their suspicions are
+        left to their own domain, or a partition would confirm them all dead.
         """
-        if held.heard_at > held.since:
+        if entry.received_at > entry.since:
             self.table.put(
-                attrs.evolve(held.member, state=MemberState.ALIVE),
+                attrs.evolve(entry.member, state=MemberState.ALIVE),
             )
-        elif held.member.domain == self.local_member.domain:
-            self.bury(held)
+        elif entry.member.domain == self.local_member.domain:
+            self.confirm_dead(entry)
 
-    def bury(self, held: KnownMember) -> None:
-        """Believe a member dead and tell the others."""
+    def confirm_dead(self, entry: MemberEntry) -> None:
+        """Mark a member as dead and gossip it."""
         self.counters.add('members_buried')
-        self.merge(attrs.evolve(held.member, state=MemberState.DEAD))
+        self.merge(attrs.evolve(entry.member, state=MemberState.DEAD))
 
-    def suspect(self, held: KnownMember) -> None:
-        """Doubt a member and tell the others."""
-        if held.state is MemberState.LEAVING:
-            # It said it would go, and now it is gone.
-            self.bury(held)
+    def suspect(self, entry: MemberEntry) -> None:
+        """Mark a member as suspect and gossip it."""
+        if entry.state is MemberState.LEAVING:
+            # It has announced its leave.
+            self.confirm_dead(entry)
             return
-        if held.state is MemberState.ALIVE:
+        if entry.state is MemberState.ALIVE:
             self.counters.add('members_suspected')
-            self.merge(attrs.evolve(held.member, state=MemberState.SUSPECT))
+            self.merge(attrs.evolve(entry.member, state=MemberState.SUSPECT))
 
     def merge(self, offered: Member) -> bool:
-        """Take a belief and pass it on if it is news."""
-        self.contacts.learn(offered.domain, trio.current_time())
+        """Merge a member's state, and gossip it if it supersedes."""
+        self.contacts.add_domain(offered.domain, trio.current_time())
         known = self.table.find(offered.tag) is not None
         if not self.table.merge(offered):
             return False
-        self.rumours.add(offered.tag, introduce=not known)
+        self.broadcasts.add(offered.tag, introduce=not known)
         return True
 
-    def take_member(self, member: Member) -> None:
-        """Merge an introduction."""
+    def handle_introduction(self, member: Member) -> None:
+        """Merge the introduction of a member."""
         if member.tag == self.local_member.tag:
             self.refute(member)
         else:
             self.merge(member)
 
-    def take_state(self, rumour: StateRumour, now: float) -> None:
-        """Merge a rumour on a member that we know."""
-        held = self.table.find(rumour.tag)
-        if held is None or rumour.incarnation < held.member.incarnation:
+    def handle_state(self, update: StateUpdate, now: float) -> None:
+        """Merge a state update of a known member."""
+        entry = self.table.find(update.tag)
+        if entry is None or update.incarnation < entry.member.incarnation:
             return
-        if is_same(rumour, held.member):
+        if is_known_state(update, entry.member):
             return
         offered = attrs.evolve(
-            held.member,
-            incarnation=rumour.incarnation,
-            state=rumour.state,
+            entry.member,
+            incarnation=update.incarnation,
+            state=update.state,
         )
-        if rumour.tag == self.local_member.tag:
+        if update.tag == self.local_member.tag:
             self.refute(offered)
             return
-        just_heard = now - held.heard_at < self.patience()
-        if rumour.state is MemberState.DEAD and just_heard:
-            # Whoever buried it is cut off from it, and we are not.
+        recently_received = now - entry.received_at < self.suspicion_seconds()
+        if update.state is MemberState.DEAD and recently_received:
+            # The VM that confirmed it dead is partitioned from it.
             offered = attrs.evolve(offered, state=MemberState.SUSPECT)
         self.merge(offered)
 
-    def refute(self, believed: Member) -> None:
-        """Start a new incarnation when others doubt us."""
+    def refute(self, reported: Member) -> None:
+        """Start a new incarnation if others suspect this VM."""
         own = self.local_member
-        doubted = believed.state not in {MemberState.ALIVE, own.state}
-        if believed.incarnation > own.incarnation or (
-            doubted and believed.incarnation == own.incarnation
+        is_suspected = reported.state not in {MemberState.ALIVE, own.state}
+        if reported.incarnation > own.incarnation or (
+            is_suspected and reported.incarnation == own.incarnation
         ):
             self.counters.add('suspicions_refuted')
-            self.announce(own.state, believed.incarnation + 1)
+            self.announce(own.state, reported.incarnation + 1)
 
     def announce(self, state: MemberState, incarnation: int) -> None:
-        """Tell a state of our own under a new incarnation."""
+        """Gossip a local state under a new incarnation."""
         own = attrs.evolve(
             self.local_member, state=state, incarnation=incarnation
         )
         self.table.put(own)
-        self.rumours.add(own.tag)
+        self.broadcasts.add(own.tag)
 
 
-def is_same(rumour: StateRumour, member: Member) -> bool:
-    """Return True for a rumour that tells nothing new."""
+def is_known_state(update: StateUpdate, member: Member) -> bool:
+    """Return True for an update that changes nothing."""
     return (
-        rumour.incarnation == member.incarnation
-        and rumour.state is member.state
+        update.incarnation == member.incarnation
+        and update.state is member.state
     )
--- a/tests/reading_story.py
+++ b/tests/reading_story.py
@@ -1,4 +1,4 @@
-"""Stories of nodes that share the reading of the store."""
+"""Scripts of nodes that share reads of the store, run from a seed."""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -11,65 +11,65 @@
 from burdocksill_lab.fakes.deterministic import run_seeded
 from burdocksill_lab.packets.fleet import FleetNode, SharedFleet, open_fleet
 
-# Until each domain has a reader and everyone has asked it.
+# Until each domain has a reader with all of its nodes as subscribers.
 SETTLE_SECONDS = 7.0
 UPSTREAM_COUNT = 20
 
-Act = Callable[[SharedFleet], Awaitable[None]]
+Step = Callable[[SharedFleet], Awaitable[None]]
 
 
 @attrs.define
-class Story:
-    """Hold a fleet's size and the steps to play on it."""
+class SimulationScript:
+    """Hold a fleet's size and the steps to run on it."""
 
     nodes: int
     domains: int
-    acts: list[Act] = attrs.field(factory=list)
-    chosen: FleetNode | None = None
+    steps: list[Step] = attrs.field(factory=list)
+    selected: FleetNode | None = None
     calls: int = 0
     peer_bytes: int = 0
-    began: float = 0
+    started_at: float = 0
 
 
-def play(context: Context, check: Act) -> None:
-    """Play the story so far, then a check; all of it on virtual time."""
-    story = context.story
+def run_script(context: Context, check: Step) -> None:
+    """Run the script so far and then a check, in virtual time."""
+    script = context.script
 
     async def main() -> None:
         async with open_fleet(context.seed) as fleet:
             await add_upstreams(fleet)
-            for number in range(story.nodes):
-                await fleet.add_node(f'd{number % story.domains}', cores=0.5)
+            for number in range(script.nodes):
+                await fleet.add_node(f'd{number % script.domains}', cores=0.5)
             await fleet.run(SETTLE_SECONDS)
-            mark(story, fleet)
-            for act in story.acts:
-                await act(fleet)
+            start_measuring(script, fleet)
+            for step in script.steps:
+                await step(fleet)
             await check(fleet)
 
     run_seeded(context.seed, main)
 
 
-def act(context: Context, step: Act) -> None:
-    """Remember a step; it is played by each check that follows."""
-    context.story.acts.append(step)
+def act(context: Context, step: Step) -> None:
+    """Add a step, which each later check runs."""
+    context.script.steps.append(step)
 
 
-def check(context: Context, step: Act) -> None:
-    """Play the story with a check, which later steps come after."""
-    play(context, step)
+def check(context: Context, step: Step) -> None:
+    """Run the script with a check, and add the check as a step."""
+    run_script(context, step)
     act(context, step)
 
 
-def mark(story: Story, fleet: SharedFleet) -> None:
-    """Count calls, bytes and ages from now on."""
-    story.calls = len(fleet.store.calls)
-    story.peer_bytes = fleet.peer_bytes
-    story.began = trio.current_time()
+def start_measuring(script: SimulationScript, fleet: SharedFleet) -> None:
+    """Measure calls, bytes and ages from now on."""
+    script.calls = len(fleet.store.calls)
+    script.peer_bytes = fleet.peer_bytes
+    script.started_at = trio.current_time()
     fleet.oldest = 0
 
 
 async def add_upstreams(fleet: SharedFleet) -> None:
-    """Write the entries of some upstreams."""
+    """Write the entries of all upstreams."""
     for number in range(UPSTREAM_COUNT):
         put_upstream(fleet, number)
 
