--- a/burdocksill/packets/outages.py
+++ b/burdocksill/packets/outages.py
@@ -1,13 +1,14 @@
-"""Find failure domains whose upstreams died together.
+"""Detect failure domains whose upstreams fail together.
 
-Answers the load of a domain that loses many upstreams at once, to a crash or a
-loss of power. Their hosts refuse clients' openings within milliseconds, and
-with nothing open the dead look the least loaded, so that all tries of a client
-meet one after the other. A node sees too few openings to find each of them by
-itself; what the nodes of a domain see together shows within a few that it is
-the domain that failed. New flows then go to upstreams that have answered since.
+When a domain loses many upstreams at once, to a crash or a loss of power, their
+hosts refuse clients' opening packets within milliseconds. With no open flows
+the failed upstreams look the least loaded, so that all tries of a client would
+reach one after the other. A single node sends too few openings to find each
+failed upstream by itself. The nodes of a domain share what they observe, and a
+few observations show that the domain has failed. New flows then go to upstreams
+that have answered since.
 
-What is told here steers new flows alone: it ends none.
+These observations affect the placement of new flows only; they end no flow.
 """
 
 from __future__ import annotations
@@ -24,146 +25,166 @@
 if TYPE_CHECKING:
     from typing import Final
 
-# Signs older than this tell nothing of what the next opening would meet.
-SIGN_SECONDS: Final = 1.0
-# A domain is suspected when this node missed openings on so many upstreams.
-SUSPECTED_OWN: Final = 3
-# With what others report it takes more: two of them may be wrong at once, and
-# a packet of a third may be lost.
-SUSPECTED_UPSTREAMS: Final = 4
-# At most this many times as many upstreams may have answered since the first.
-ANSWERED_FACTOR: Final = 2
-# One node may be cut off itself, or lie: of an upstream alone, what others
-# report counts from two of them on.
-FEWEST_REPORTERS: Final = 2
-# A domain is trusted again so long after the last missed opening.
+# Older observations say nothing about the result of the next opening.
+MAX_OBSERVATION_SECONDS: Final = 1.0
+# A domain is suspected when this node missed answers of this many upstreams.
+MIN_OWN_MISSED: Final = 3
+# More are needed when reports of other nodes count: two of the reports may be
+# wrong at once, and a packet to a third upstream may have been lost.
+MIN_EVIDENCE: Final = 4
+# A domain is suspected only while the upstreams that have answered since the
+# first miss are at most this many times the evidence.
+MAX_ANSWERED_RATIO: Final = 2
+# Another node may be partitioned or faulty, so reports of others about one
+# upstream count only if at least this many nodes agree.
+MIN_REPORTERS: Final = 2
+# A suspicion ends this long after the last missed answer.
 SUSPICION_SECONDS: Final = 1.5
-# The reporter that stands for this node's own eyes.
-OWN: Final = 0
-# Sums of shares are compared with whole numbers.
-SHARE_DIGITS: Final = 6
+# The reporter number of this node itself.
+LOCAL_REPORTER: Final = 0
+# Sums of fractions are rounded before they are compared with whole numbers.
+EVIDENCE_DIGITS: Final = 6
 
 logger = EarlyLogger(__name__)
 
 
 def ignore_event() -> None:
-    """Tell nobody of signs."""
+    """Do nothing; the default callback."""
 
 
-class UpstreamSigns:
-    """Hold what openings on one upstream met, by who saw it."""
+class UpstreamObservations:
+    """Hold the results of openings on one upstream, by reporter."""
 
-    __slots__ = ('answered_at', 'known', 'missed')
+    __slots__ = ('answered_at', 'missed', 'upstream')
 
-    def __init__(self, known: KnownUpstream) -> None:
-        """Begin with nothing seen."""
-        self.known = known
+    def __init__(self, upstream: KnownUpstream) -> None:
+        """Start without observations."""
+        self.upstream = upstream
         self.answered_at = float('-inf')
-        # When each reporter last missed an answer, since the last answer.
+        # Time of each reporter's last missed answer since the last answer.
         self.missed: dict[int, float] = {}
 
     def reporters(self, since: float) -> set[int]:
-        """Return who has missed an answer since a time."""
+        """Return the reporters that missed an answer since a time."""
         return {reporter for reporter, at in self.missed.items() if at >= since}
 
-    def is_old(self, now: float) -> bool:
-        """Return True when nothing here counts any more."""
+    def is_expired(self, now: float) -> bool:
+        """Return True when all observations are too old to count."""
         latest = max(self.missed.values(), default=self.answered_at)
         return now - max(latest, self.answered_at) > SUSPICION_SECONDS
 
-    def is_certain(self, now: float) -> bool:
-        """Return True when enough nodes missed an answer."""
-        reporters = self.reporters(now - SIGN_SECONDS)
-        return OWN in reporters or len(reporters) >= FEWEST_REPORTERS
+    def is_confirmed(self, now: float) -> bool:
+        """Return True when this node or enough others missed an answer."""
+        reporters = self.reporters(now - MAX_OBSERVATION_SECONDS)
+        return LOCAL_REPORTER in reporters or len(reporters) >= MIN_REPORTERS
 
 
-class DomainSigns:
-    """Hold what openings met in one failure domain."""
+class DomainObservations:
+    """Hold the results of openings in one failure domain."""
 
-    __slots__ = ('missed_at', 'missed_since', 'signs', 'suspected_since')
+    __slots__ = (
+        'by_upstream',
+        'first_missed_at',
+        'last_missed_at',
+        'suspected_since',
+    )
 
     def __init__(self) -> None:
-        """Begin with a domain that is trusted."""
-        self.signs: dict[KnownUpstream, UpstreamSigns] = {}
-        # Since when its upstreams must prove themselves; infinite: never.
+        """Start with a domain that is not suspected."""
+        self.by_upstream: dict[KnownUpstream, UpstreamObservations] = {}
+        # Start of the suspicion; upstreams must have answered since then to
+        # get new flows. Infinite while the domain is not suspected.
         self.suspected_since = float('inf')
-        # The last missed opening, and the first of those without a pause.
-        self.missed_at = float('-inf')
-        self.missed_since = float('-inf')
-
-    def note_missed(self, at: float) -> None:
-        """Take note of the time of a missed opening."""
-        if at - self.missed_at > SIGN_SECONDS:
-            self.missed_since = at
-        self.missed_at = max(self.missed_at, at)
-
-    def is_news(self, signs: UpstreamSigns, at: float) -> bool:
-        """Return True when others count an answer that they haven't yet."""
-        if signs.missed or at - signs.answered_at > SIGN_SECONDS:
+        # The last missed answer, and the first one of its series: misses of a
+        # series are at most MAX_OBSERVATION_SECONDS apart.
+        self.last_missed_at = float('-inf')
+        self.first_missed_at = float('-inf')
+
+    def record_missed(self, at: float) -> None:
+        """Record the time of a missed answer."""
+        if at - self.last_missed_at > MAX_OBSERVATION_SECONDS:
+            self.first_missed_at = at
+        self.last_missed_at = max(self.last_missed_at, at)
+
+    def is_new_answer(
+        self,
+        observations: UpstreamObservations,
+        at: float,
+    ) -> bool:
+        """Return True when an answer changes what other nodes count."""
+        if (
+            observations.missed
+            or at - observations.answered_at > MAX_OBSERVATION_SECONDS
+        ):
             return True
-        since = self.missed_since
-        if self.was_suspected():
+        since = self.first_missed_at
+        if self.has_suspicion():
             since = self.suspected_since
-        return signs.answered_at < since <= at
+        return observations.answered_at < since <= at
 
-    def of(self, known: KnownUpstream) -> UpstreamSigns:
-        """Return what openings on an upstream met."""
-        return self.signs.setdefault(known, UpstreamSigns(known))
+    def of(self, upstream: KnownUpstream) -> UpstreamObservations:
+        """Return the observations of an upstream, created when missing."""
+        return self.by_upstream.setdefault(
+            upstream,
+            UpstreamObservations(upstream),
+        )
 
-    def is_watched(self, now: float) -> bool:
-        """Return True while answers are worth telling."""
-        return now - self.missed_at <= SIGN_SECONDS
+    def has_recent_miss(self, now: float) -> bool:
+        """Return True while answers should be reported to other nodes."""
+        return now - self.last_missed_at <= MAX_OBSERVATION_SECONDS
 
-    def was_suspected(self) -> bool:
-        """Return True until the domain is trusted again."""
+    def has_suspicion(self) -> bool:
+        """Return True until the suspicion is reset, even if it has expired."""
         return self.suspected_since != float('inf')
 
     def is_suspected(self, now: float) -> bool:
-        """Return True while its upstreams must prove themselves."""
+        """Return True while the domain is suspected."""
         return (
             self.suspected_since <= now
-            and now - self.missed_at <= SUSPICION_SECONDS
+            and now - self.last_missed_at <= SUSPICION_SECONDS
         )
 
-    def forget_old(self, now: float) -> None:
-        """Drop signs that count no more."""
-        for known, signs in list(self.signs.items()):
-            if signs.is_old(now):
-                del self.signs[known]
+    def remove_expired(self, now: float) -> None:
+        """Remove observations that are too old to count."""
+        for upstream, observations in list(self.by_upstream.items()):
+            if observations.is_expired(now):
+                del self.by_upstream[upstream]
 
-    def weigh_lately(self, now: float) -> Weighed:
-        """Count what speaks against the domain now, and for it since."""
-        begin = now - SIGN_SECONDS
+    def recent_evidence(self, now: float) -> OutageEvidence:
+        """Count recent misses, and answers since the first of them."""
+        begin = now - MAX_OBSERVATION_SECONDS
         times = (
             at
-            for signs in self.signs.values()
-            for at in signs.missed.values()
+            for observations in self.by_upstream.values()
+            for at in observations.missed.values()
             if at >= begin
         )
-        return self.weigh(begin, min(times, default=now))
+        return self.evidence(begin, min(times, default=now))
 
-    def weigh_suspicion(self) -> Weighed:
-        """Count what speaks against the domain since it is suspected."""
-        return self.weigh(self.suspected_since, self.suspected_since)
+    def evidence_since_suspected(self) -> OutageEvidence:
+        """Count misses and answers since the start of the suspicion."""
+        return self.evidence(self.suspected_since, self.suspected_since)
 
-    def weigh(self, begin: float, since: float) -> Weighed:
-        """Count misses from a time on, and answers from another."""
+    def evidence(self, begin: float, since: float) -> OutageEvidence:
+        """Count misses from `begin` on, and answers from `since` on."""
         missed = [
-            (signs.known, reporters)
-            for signs in self.signs.values()
-            if signs.known.is_listed and (reporters := signs.reporters(begin))
+            (observations.upstream, reporters)
+            for observations in self.by_upstream.values()
+            if observations.upstream.is_listed
+            and (reporters := observations.reporters(begin))
         ]
-        return Weighed(
+        return OutageEvidence(
             missed=tuple(reporters for _, reporters in missed),
             answered=sum(
-                signs.answered_at >= since for signs in self.signs.values()
+                observations.answered_at >= since
+                for observations in self.by_upstream.values()
             ),
             since=since,
         )
 
 
-class Weighed:
-    """Hold the counts by which a domain is suspected."""
+class OutageEvidence:
+    """Hold the counts that decide whether a domain is suspected."""
 
     __slots__ = ('answered', 'missed', 'since')
 
@@ -175,217 +196,250 @@
         since: float,
     ) -> None:
         """Take all fields."""
-        # The reporters of each upstream without an answer.
+        # The reporters of each upstream that did not answer.
         self.missed = missed
-        # Upstreams that have answered since then.
+        # Number of upstreams that have answered since `since`.
         self.answered = answered
         self.since = since
 
     @property
     def own(self) -> int:
-        """Return how many upstreams this node itself had no answer of."""
-        return sum(OWN in reporters for reporters in self.missed)
+        """Return the number of upstreams that did not answer this node."""
+        return sum(LOCAL_REPORTER in reporters for reporters in self.missed)
 
     @property
     def reporters(self) -> int:
-        """Return how many nodes missed an answer."""
+        """Return the number of nodes that missed an answer."""
         return len(set().union(*self.missed))
 
     @property
     def evidence(self) -> float:
-        """Return how many upstreams count as silent.
+        """Return the weighted number of unresponsive upstreams.
 
-        One that this node missed counts whole. The word of another node is
-        one in all, spread over the upstreams that it names: however many a
-        node names that lies or is cut off, it weighs as one upstream.
+        An upstream that did not answer this node counts as 1. Each other node
+        has a total weight of 1, divided among the upstreams that it reports:
+        a faulty or partitioned node weighs as one upstream, however many it
+        reports.
         """
         named = Counter(chain.from_iterable(self.missed))
         shares = [
-            1 if OWN in reporters else sum(1 / named[one] for one in reporters)
+            1
+            if LOCAL_REPORTER in reporters
+            else sum(1 / named[one] for one in reporters)
             for reporters in self.missed
         ]
-        return round(sum(min(1, share) for share in shares), SHARE_DIGITS)
+        return round(sum(min(1, share) for share in shares), EVIDENCE_DIGITS)
 
     @property
-    def speaks_against(self) -> bool:
-        """Return True when the domain itself seems to have failed."""
-        enough = (
-            self.own >= SUSPECTED_OWN or self.evidence >= SUSPECTED_UPSTREAMS
-        )
-        return enough and self.outweighs
+    def indicates_outage(self) -> bool:
+        """Return True when the domain as a whole seems to have failed."""
+        enough = self.own >= MIN_OWN_MISSED or self.evidence >= MIN_EVIDENCE
+        return enough and self.has_few_answers
 
     @property
-    def outweighs(self) -> bool:
-        """Return True when few answered beside those that are silent."""
-        return self.answered <= self.evidence * ANSWERED_FACTOR
+    def has_few_answers(self) -> bool:
+        """Return True when few upstreams answered compared to the evidence."""
+        return self.answered <= self.evidence * MAX_ANSWERED_RATIO
 
 
 class DomainOutageDetector:
-    """Tell which upstreams a new flow should rather not be sent to."""
+    """Suspect domains and upstreams that new flows should avoid."""
 
-    __slots__ = ('domains', 'on_observation', 'own', 'upstreams')
+    __slots__ = ('domains', 'on_observation', 'unsent', 'upstreams')
 
     def __init__(self, upstreams: UpstreamRegistry) -> None:
-        """Begin with nothing seen."""
+        """Start without observations."""
         self.upstreams = upstreams
-        self.domains: dict[str, DomainSigns] = {}
-        # This node's own signs that others should hear of, once.
-        self.own: list[Observation] = []
-        # Called when there is one.
+        self.domains: dict[str, DomainObservations] = {}
+        # This node's observations that were not sent to other nodes yet.
+        self.unsent: list[Observation] = []
+        # Called after an observation was added to `unsent`.
         self.on_observation: Callable[[], None] = ignore_event
 
-    def record_missed(self, known: KnownUpstream, now: float) -> None:
-        """Take note of an opening that nobody answered."""
-        if self.note_missed(known, OWN, now, now):
-            self.tell(known, now, answered=False)
+    def record_missed(self, upstream: KnownUpstream, now: float) -> None:
+        """Record an opening of this node that was not answered."""
+        if self.add_missed(upstream, LOCAL_REPORTER, now, now):
+            self.publish(upstream, now, answered=False)
 
-    def record_answered(self, known: KnownUpstream, now: float) -> None:
-        """Take note of a sign of life, if its domain has been in trouble."""
-        domain = self.domains.get(known.record.domain)
-        if domain is None or not domain.is_watched(now):
+    def record_answered(self, upstream: KnownUpstream, now: float) -> None:
+        """Record an answer, if its domain has a recent missed answer."""
+        domain = self.domains.get(upstream.record.domain)
+        if domain is None or not domain.has_recent_miss(now):
             return
-        if self.note_answered(domain, known, now, now):
-            self.tell(known, now, answered=True)
+        if self.add_answered(domain, upstream, now, now):
+            self.publish(upstream, now, answered=True)
 
-    def tell(self, known: KnownUpstream, at: float, *, answered: bool) -> None:
-        """Let other nodes hear of an own observation."""
+    def publish(
+        self,
+        upstream: KnownUpstream,
+        at: float,
+        *,
+        answered: bool,
+    ) -> None:
+        """Queue an observation of this node for the other nodes."""
         observation = Observation(
-            echo=known.echo, answered=answered, at=at, reporter=OWN
+            echo=upstream.echo,
+            answered=answered,
+            at=at,
+            reporter=LOCAL_REPORTER,
         )
-        self.own.append(observation)
+        self.unsent.append(observation)
         self.on_observation()
 
     def pop_unsent(self) -> list[Observation]:
-        """Return the own signs that nobody was told of yet."""
-        own = self.own
-        self.own = []
-        return own
+        """Return and remove the observations that were not sent yet."""
+        unsent = self.unsent
+        self.unsent = []
+        return unsent
 
     def merge(self, observation: Observation, now: float) -> bool:
-        """Take in what another node saw; return False for no news."""
-        known = self.upstreams.by_echo.get(observation.echo)
-        if known is None or not 0 <= now - observation.at <= SIGN_SECONDS:
+        """Add another node's observation; return False if it adds nothing."""
+        upstream = self.upstreams.by_echo.get(observation.echo)
+        if (
+            upstream is None
+            or not 0 <= now - observation.at <= MAX_OBSERVATION_SECONDS
+        ):
             return False
         if not observation.answered:
-            return self.note_missed(
-                known, observation.reporter, observation.at, now
+            return self.add_missed(
+                upstream,
+                observation.reporter,
+                observation.at,
+                now,
             )
-        domain = self.domains.setdefault(known.record.domain, DomainSigns())
-        return self.note_answered(domain, known, observation.at, now)
+        domain = self.domains.setdefault(
+            upstream.record.domain,
+            DomainObservations(),
+        )
+        return self.add_answered(domain, upstream, observation.at, now)
 
-    def note_missed(
+    def add_missed(
         self,
-        known: KnownUpstream,
+        upstream: KnownUpstream,
         reporter: int,
         at: float,
         now: float,
     ) -> bool:
-        """Count a missed opening; return False where enough is known."""
-        domain = self.domains.setdefault(known.record.domain, DomainSigns())
-        signs = domain.of(known)
-        if signs.answered_at > at:
+        """Add a missed answer; return False if enough nodes reported it."""
+        domain = self.domains.setdefault(
+            upstream.record.domain,
+            DomainObservations(),
+        )
+        observations = domain.of(upstream)
+        if observations.answered_at > at:
             return False
-        others = signs.reporters(now - SIGN_SECONDS) - {reporter}
-        news = len(others) < FEWEST_REPORTERS
-        signs.missed[reporter] = at
-        domain.note_missed(at)
-        self.review_domain(known.record.domain, domain, now)
-        if not domain.was_suspected():
-            self.consider(known.record.domain, domain, now)
-        return news
-
-    def note_answered(
+        others = observations.reporters(now - MAX_OBSERVATION_SECONDS) - {
+            reporter
+        }
+        is_new = len(others) < MIN_REPORTERS
+        observations.missed[reporter] = at
+        domain.record_missed(at)
+        self.update_suspicion(upstream.record.domain, domain, now)
+        if not domain.has_suspicion():
+            self.suspect_if_failed(upstream.record.domain, domain, now)
+        return is_new
+
+    def add_answered(
         self,
-        domain: DomainSigns,
-        known: KnownUpstream,
+        domain: DomainObservations,
+        upstream: KnownUpstream,
         at: float,
         now: float,
     ) -> bool:
-        """Count an answer; return False where one is known already."""
-        signs = domain.of(known)
-        news = domain.is_news(signs, at)
-        if any(missed_at > at for missed_at in signs.missed.values()):
+        """Add an answer; return False if it changes nothing for others."""
+        observations = domain.of(upstream)
+        is_new = domain.is_new_answer(observations, at)
+        if any(missed_at > at for missed_at in observations.missed.values()):
             return False
-        signs.missed.clear()
-        signs.answered_at = max(signs.answered_at, at)
-        self.review_domain(known.record.domain, domain, now)
-        return news
-
-    def consider(self, name: str, domain: DomainSigns, now: float) -> None:
-        """Suspect a domain if enough of its upstreams are silent."""
-        domain.forget_old(now)
-        weighed = domain.weigh_lately(now)
-        if weighed.speaks_against:
-            domain.suspected_since = weighed.since
-            self.write_down('domain suspected', name, weighed, now)
+        observations.missed.clear()
+        observations.answered_at = max(observations.answered_at, at)
+        self.update_suspicion(upstream.record.domain, domain, now)
+        return is_new
+
+    def suspect_if_failed(
+        self,
+        name: str,
+        domain: DomainObservations,
+        now: float,
+    ) -> None:
+        """Suspect a domain if enough of its upstreams are unresponsive."""
+        domain.remove_expired(now)
+        evidence = domain.recent_evidence(now)
+        if evidence.indicates_outage:
+            domain.suspected_since = evidence.since
+            self.log_state('domain suspected', name, evidence, now)
 
     def expire_suspicions(self, now: float) -> None:
-        """Trust the domains that nothing speaks against any more."""
+        """End suspicions that have expired or lack evidence."""
         for name, domain in self.domains.items():
-            self.review_domain(name, domain, now)
+            self.update_suspicion(name, domain, now)
 
-    def review_domain(
+    def update_suspicion(
         self,
         name: str,
-        domain: DomainSigns,
+        domain: DomainObservations,
         now: float,
     ) -> None:
-        """Trust a suspected domain that has answered, or has time to."""
-        if not domain.was_suspected():
+        """End a suspicion that has expired or lacks evidence."""
+        if not domain.has_suspicion():
             return
-        weighed = domain.weigh_suspicion()
-        if not domain.is_suspected(now) or not weighed.outweighs:
+        evidence = domain.evidence_since_suspected()
+        if not domain.is_suspected(now) or not evidence.has_few_answers:
             domain.suspected_since = float('inf')
-            self.write_down('domain trusted', name, weighed, now)
+            self.log_state('domain trusted', name, evidence, now)
 
-    def write_down(
+    def log_state(
         self,
         message: str,
         name: str,
-        weighed: Weighed,
+        counts: OutageEvidence,
         now: float,
     ) -> None:
-        """Write down what a domain is taken for, with the counts."""
+        """Log a domain's change of state with the counts that caused it."""
         logger.warning(
             message,
             extra={
                 'domain': name,
-                'missed': len(weighed.missed),
-                'evidence': weighed.evidence,
-                'answered': weighed.answered,
-                'reporters': weighed.reporters,
-                'own': weighed.own,
-                'since_s': round(now - weighed.since, 3),
+                'missed': len(counts.missed),
+                'evidence': counts.evidence,
+                'answered': counts.answered,
+                'reporters': counts.reporters,
+                'own': counts.own,
+                'since_s': round(now - counts.since, 3),
             },
         )
 
     def is_domain_suspected(self, name: str, now: float) -> bool:
-        """Return True while a domain's upstreams must prove themselves."""
+        """Return True while a domain is suspected."""
         domain = self.domains.get(name)
         return domain is not None and domain.is_suspected(now)
 
     def suspected_domains(self, now: float) -> Iterator[str]:
-        """Return the domains whose upstreams must prove themselves."""
+        """Yield the names of the suspected domains."""
         for name in self.domains:
             if self.is_domain_suspected(name, now):
                 yield name
 
-    def is_upstream_suspected(self, known: KnownUpstream, now: float) -> bool:
-        """Return True when a new flow on an upstream may meet nobody.
+    def is_upstream_suspected(
+        self,
+        upstream: KnownUpstream,
+        now: float,
+    ) -> bool:
+        """Return True when a new flow on an upstream may get no answer.
 
-        One that has started since the trouble began is another process, of
-        which the signs say nothing.
+        An upstream that this node has known only since the suspicion began is
+        a new process, about which older observations say nothing.
         """
-        domain = self.domains.get(known.record.domain)
-        if domain is None or now - domain.missed_at > SUSPICION_SECONDS:
+        domain = self.domains.get(upstream.record.domain)
+        if domain is None or now - domain.last_missed_at > SUSPICION_SECONDS:
             return False
-        signs = domain.signs.get(known)
-        if signs is not None and signs.is_certain(now):
+        observations = domain.by_upstream.get(upstream)
+        if observations is not None and observations.is_confirmed(now):
             return True
         since = domain.suspected_since
-        if not domain.is_suspected(now) or known.since > since:
+        if not domain.is_suspected(now) or upstream.since > since:
             return False
-        answered_at = known.health.last_answer_at
-        if signs is not None:
-            answered_at = max(answered_at, signs.answered_at)
+        answered_at = upstream.health.last_answer_at
+        if observations is not None:
+            answered_at = max(answered_at, observations.answered_at)
         return answered_at < since
