--- a/burdocksill/packets/flows.py
+++ b/burdocksill/packets/flows.py
@@ -152,7 +152,7 @@
             key for key, flow in self.flows.items() if flow.upstream is upstream
         ]
 
-    def waits_since(self, upstream: KnownUpstream, begin: float) -> bool:
+    def has_waited_since(self, upstream: KnownUpstream, begin: float) -> bool:
         """Return True when a client has waited for one alone since a time."""
         heard_at = upstream.health.last_answer_at
         return any(
--- a/burdocksill/packets/health.py
+++ b/burdocksill/packets/health.py
@@ -147,7 +147,7 @@
             now < self.aside_until or len(self.unanswered_flows) >= PAIR_FLOWS
         )
 
-    def keeps_waiting(self, now: float, recent: float) -> bool:
+    def has_overdue_flow(self, now: float, recent: float) -> bool:
         """Return True when a client waits for longer than answers take.
 
         `recent` are the seconds that those of its service take now, 0 if
--- a/burdocksill/packets/losses.py
+++ b/burdocksill/packets/losses.py
@@ -1,9 +1,9 @@
-"""Tell which upstreams' flows are lost, by the store and by what clients send.
+"""Detect upstreams whose flows are lost, from the store and client packets.
 
-Answers the load of upstreams that end without a word: a crash, a loss of power.
-Clients wait on their open flows until their deadline, unless they are told.
-Nothing that other nodes saw counts here, and a vanished entry alone ends no
-flow: its upstream may be cut off from the store, and answer its clients.
+When an upstream crashes or loses power, clients would wait on their open flows
+until their deadlines unless a node resets them. Observations of other nodes do
+not count here. A removed store entry alone ends no flow, because its upstream
+may be partitioned from the store and still answer its clients.
 """
 
 from __future__ import annotations
@@ -26,53 +26,57 @@
     __slots__ = ('flows', 'upstreams')
 
     def __init__(
-        self, *, upstreams: UpstreamRegistry, flows: FlowTable
+        self,
+        *,
+        upstreams: UpstreamRegistry,
+        flows: FlowTable,
     ) -> None:
         """Take all fields."""
         self.upstreams = upstreams
         self.flows = flows
 
     def loss_reason(self, upstream: KnownUpstream, now: float) -> Reason | None:
-        """Return why flows on an upstream are lost, None while they may live.
+        """Return why flows on an upstream are lost, or None if they may live.
 
-        Another process runs in its place, or clients' packets show that it
-        answers nobody, or its entry has vanished and is not expected back, and
-        one client misses it too.
+        They are lost if another process has replaced the upstream, if clients'
+        packets show that it is unresponsive, or if its store entry is gone for
+        good and at least one client gets no answer either.
         """
         health = upstream.health
         if upstream.is_replaced:
             return Reason.UPSTREAM_REPLACED
         if health.is_unresponsive(now):
-            # Once its flows are ended nothing else would tell that it is
-            # silent, and with no flow left it would seem the least loaded.
+            # After the reset of its flows no packets would show that it is
+            # unresponsive, and without flows it would look the least loaded.
             health.eject(now)
             return Reason.UPSTREAM_DARK
         presence = self.upstreams.presence(upstream, now)
         if presence is Presence.GONE and health.unanswered_flows:
             return Reason.UPSTREAM_GONE
-        silent = self.upstreams.stopped_renewing(upstream)
-        if silent and health.keeps_waiting(now, upstream.limiter.recent):
+        expired = self.upstreams.stopped_renewing(upstream)
+        if expired and health.has_overdue_flow(now, upstream.limiter.recent):
             return Reason.UPSTREAM_GONE
         return None
 
     def pop_lost(self, now: float) -> Iterator[tuple[KnownUpstream, Reason]]:
-        """Return once each the upstreams that the store told are lost.
+        """Yield each upstream that changes of the store show to be lost, once.
 
-        Clients may not send again for long, so their packets aren't waited for.
+        Clients may not send again for long, so this does not wait for packets.
         """
-        for ended in self.upstreams.take_ended():
-            yield ended, Reason.UPSTREAM_REPLACED
-        for lapsed in self.upstreams.take_lapsed():
-            if lapsed.waiting and self.waits_in_vain(lapsed, now):
-                yield lapsed, Reason.UPSTREAM_GONE
+        for replaced in self.upstreams.pop_replaced():
+            yield replaced, Reason.UPSTREAM_REPLACED
+        for expired in self.upstreams.pop_expired():
+            if expired.waiting and self.has_overdue_request(expired, now):
+                yield expired, Reason.UPSTREAM_GONE
 
-    def waits_in_vain(self, upstream: KnownUpstream, now: float) -> bool:
-        """Return True when a client waits for longer than answers take.
+    def has_overdue_request(self, upstream: KnownUpstream, now: float) -> bool:
+        """Return True when a client has waited longer than answers take.
 
-        A node that is behind may have the answer's sign in its socket.
+        Always False on a backlogged node: the acknowledgement of the answer may
+        still be in its socket.
         """
         recent = upstream.limiter.recent
         if self.flows.is_backlogged or not recent or upstream.is_listed:
             return False
         longest = max(recent * LAPSED_ANSWERS, QUICK_SECONDS)
-        return self.flows.waits_since(upstream, now - longest)
+        return self.flows.has_waited_since(upstream, now - longest)
--- a/burdocksill/packets/upstreams.py
+++ b/burdocksill/packets/upstreams.py
@@ -206,13 +206,13 @@
             self.remove_candidate(before)
             self.replaced.append(before)
 
-    def take_ended(self) -> list[KnownUpstream]:
+    def pop_replaced(self) -> list[KnownUpstream]:
         """Return the upstreams whose end nobody was told of yet."""
         ended = self.replaced
         self.replaced = []
         return ended
 
-    def take_lapsed(self) -> list[KnownUpstream]:
+    def pop_expired(self) -> list[KnownUpstream]:
         """Return the upstreams whose entry's end nobody was told of yet."""
         lapsed = self.expired
         self.expired = []
