--- a/burdocksill/packets/flows.py
+++ b/burdocksill/packets/flows.py
@@ -207,7 +207,7 @@
             now,
         )
         if not flow.repeated:
-            flow.upstream.health.took(seconds)
+            flow.upstream.health.record_answer_time(seconds)
             self.answers.append((flow.upstream.record.service, seconds))
 
     def stop_waiting(self, flow: TrackedFlow) -> None:
@@ -239,7 +239,7 @@
         elif flow.waiting_since:
             flow.repeated = True
             if fresh:
-                flow.upstream.health.unanswered(
+                flow.upstream.health.record_retransmission(
                     packet.flow,
                     flow.waiting_since,
                 )
--- a/burdocksill/packets/losses.py
+++ b/burdocksill/packets/losses.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 
 from burdocksill.packets.flows import FlowTable
-from burdocksill.packets.health import LAPSED_ANSWERS, QUICK_SECONDS
+from burdocksill.packets.health import EXPIRED_ANSWER_FACTOR, GROUP_MIN_SECONDS
 from burdocksill.packets.upstreams import (
     KnownUpstream,
     Presence,
@@ -78,5 +78,5 @@
         recent = upstream.limiter.recent
         if self.flows.is_backlogged or not recent or upstream.is_listed:
             return False
-        longest = max(recent * LAPSED_ANSWERS, QUICK_SECONDS)
+        longest = max(recent * EXPIRED_ANSWER_FACTOR, GROUP_MIN_SECONDS)
         return self.flows.has_waited_since(upstream, now - longest)
