--- a/burdocksill/packets/flows.py
+++ b/burdocksill/packets/flows.py
@@ -1,7 +1,8 @@
-"""What a node has seen of the flows that pass through it.
+"""State of the flows whose packets pass through this node.
 
-Nothing here is needed to route: an open flow's packets carry the name of its
-upstream. The table tells how flows fare; it is bounded, and may be lost.
+Routing does not need it, because the packets of an open flow name their
+upstream. It serves to detect failures and to measure answer times; it is
+bounded, and may be lost at any time.
 """
 
 from __future__ import annotations
@@ -24,20 +25,20 @@
 if TYPE_CHECKING:
     from typing import Final
 
-# Below the time after which a client repeats what is not answered. What is read
-# sooner after the packet before was doubled by the network, or has waited
-# in this node's socket while the node stood still or was started.
+# Less than the time after which a client retransmits. A copy that is read
+# sooner after the packet before it was duplicated by the network, or has waited
+# in the socket while this node was paused or starting.
 MIN_RETRANSMIT_SECONDS: Final = 0.15
 FlowKey = tuple[int, int, int, int]
 
 # Bounds the memory of the table, whatever clients send.
-FLOWS_KEPT: Final = 8192
-# As many as a busy node sees between two readings of its metrics.
-ANSWERS_KEPT: Final = 8192
+MAX_FLOWS: Final = 8192
+# The number that a busy node sees between two scrapes of its metrics.
+MAX_ANSWER_TIMES: Final = 8192
 
 
 class TrackedFlow:
-    """Hold the last state of a flow that its client's packets showed."""
+    """Hold the latest state of a flow, as its client's packets show it."""
 
     __slots__ = (
         'ack',
@@ -45,10 +46,10 @@
         'last_seen_at',
         'objective_seconds',
         'open',
-        'repeated',
+        'retransmitted',
         'seq',
+        'unanswered_since',
         'upstream',
-        'waiting_since',
     )
 
     def __init__(
@@ -63,39 +64,41 @@
         self.last_seen_at = last_seen_at
         self.ack: int = 0
         self.seq: int = -1
-        # Within which its client wants an answer; 0: none is set.
+        # Objective for the answer time; 0 if none is set.
         self.objective_seconds = objective_seconds
-        # On the upstreams of its service when it sent that, for each slot.
+        # Requests in progress for each slot on the upstreams of its service,
+        # at the time when the flow sent its pending request.
         self.in_progress: float = 0
-        # When the data was first sent that is not acknowledged yet; 0 without.
-        self.waiting_since: float = 0
+        # When unanswered data was first sent; 0 if there is none.
+        self.unanswered_since: float = 0
         self.open = False
-        self.repeated = False
+        self.retransmitted = False
 
 
 class FlowTable:
-    """Keep the flows seen last, the oldest first."""
+    """Hold the flows that were started last, in the order of their start."""
 
     __slots__ = ('answers', 'flows', 'is_backlogged', 'limit', 'table')
 
     def __init__(
         self,
         *,
-        limit: int = FLOWS_KEPT,
+        limit: int = MAX_FLOWS,
         table: RoutingTable | None = None,
     ) -> None:
         """Take all fields."""
         self.limit = limit
         self.flows: dict[FlowKey, TrackedFlow] = {}
-        # True while packets wait in this node for long: repeats prove nothing.
+        # True while packets wait long in the socket, so that retransmissions
+        # prove nothing about an upstream.
         self.is_backlogged = False
-        # Tells within which the clients of a route want their answers.
+        # Holds the objectives of the routes.
         self.table: RoutingTable = RoutingTable() if table is None else table
-        # What the latest answers took, by service, until the metrics take them.
-        self.answers: deque[tuple[str, float]] = deque(maxlen=ANSWERS_KEPT)
+        # Service and seconds of answers that the metrics have not read yet.
+        self.answers: deque[tuple[str, float]] = deque(maxlen=MAX_ANSWER_TIMES)
 
     def find(self, key: FlowKey) -> TrackedFlow | None:
-        """Return what is known of a flow."""
+        """Return a flow, or None if it is not tracked."""
         return self.flows.get(key)
 
     def start(
@@ -104,7 +107,7 @@
         upstream: KnownUpstream,
         now: float,
     ) -> TrackedFlow:
-        """Begin to follow a flow on an upstream."""
+        """Track a new flow, instead of the oldest one if the table is full."""
         self.end(key)
         if len(self.flows) >= self.limit:
             self.end(next(iter(self.flows)))
@@ -128,10 +131,10 @@
         upstream: KnownUpstream,
         now: float,
     ) -> TrackedFlow:
-        """Begin to follow a flow that was opened through another node.
+        """Track a flow that was opened through another node.
 
-        What its client has acknowledged is old news: taken for a sign of life
-        it would hide that the upstream is silent, for each flow that moves.
+        Its first acknowledgement seen here may be old. Counted as an answer, it
+        would hide with each flow that moves that the upstream is unresponsive.
         """
         flow = self.start(packet.flow, upstream, now)
         flow.open = True
@@ -139,64 +142,78 @@
         return flow
 
     def end(self, key: FlowKey) -> None:
-        """Stop following a flow."""
+        """Stop tracking a flow; ignore unknown ones."""
         flow = self.flows.pop(key, None)
         if flow is not None:
             flow.upstream.flows -= 1
-            self.stop_waiting(flow)
+            self.end_wait(flow)
             flow.upstream.health.unanswered_flows.pop(key, None)
 
     def keys_on(self, upstream: KnownUpstream) -> list[FlowKey]:
-        """Return the flows on an upstream."""
+        """Return the keys of the flows on an upstream."""
         return [
             key for key, flow in self.flows.items() if flow.upstream is upstream
         ]
 
     def has_waited_since(self, upstream: KnownUpstream, begin: float) -> bool:
-        """Return True when a client has waited for one alone since a time."""
-        heard_at = upstream.health.last_answer_at
+        """Return True when a client has waited for its answer since `begin`.
+
+        A wait does not count if another client got an answer meanwhile.
+        """
+        answered_at = upstream.health.last_answer_at
         return any(
-            heard_at < flow.waiting_since <= begin
+            answered_at < flow.unanswered_since <= begin
             for flow in self.flows.values()
             if flow.upstream is upstream
         )
 
     def idle_since(self, before: float) -> Iterator[FlowKey]:
-        """Return the flows that were last seen before a time."""
+        """Yield the keys of the flows without a packet since a time."""
         for key, flow in self.flows.items():
             if flow.last_seen_at < before:
                 yield key
 
     def observe(self, packet: Packet, flow: TrackedFlow, now: float) -> None:
-        """Learn from a packet of an open flow how its upstream fares."""
+        """Update a flow and the health of its upstream from a packet."""
         gap = now - flow.last_seen_at
         flow.last_seen_at = now
         key = packet.flow
         if not flow.open or is_sequence_after(packet.ack, flow.ack):
-            self.answered(flow, packet, now)
+            self.handle_acknowledgement(flow, packet, now)
         if packet.length:
-            self.sent(
+            self.handle_data(
                 flow,
                 packet,
                 now,
-                fresh=not self.is_backlogged and gap >= MIN_RETRANSMIT_SECONDS,
+                is_reliable=not self.is_backlogged
+                and gap >= MIN_RETRANSMIT_SECONDS,
             )
         if packet.flags & (FIN | RST):
             self.end(key)
 
-    def answered(self, flow: TrackedFlow, packet: Packet, now: float) -> None:
-        """Take note that the upstream has sent something new."""
+    def handle_acknowledgement(
+        self,
+        flow: TrackedFlow,
+        packet: Packet,
+        now: float,
+    ) -> None:
+        """Record that the client has acknowledged new data of the upstream."""
         health = flow.upstream.health
-        if flow.waiting_since:
-            self.took(flow, packet, now)
+        if flow.unanswered_since:
+            self.record_answer_time(flow, packet, now)
         flow.open = True
         flow.ack = packet.ack
-        self.stop_waiting(flow)
+        self.end_wait(flow)
         health.record_answer(now)
 
-    def took(self, flow: TrackedFlow, packet: Packet, now: float) -> None:
-        """Learn from what an answer took that is acknowledged now."""
-        seconds = now - flow.waiting_since
+    def record_answer_time(
+        self,
+        flow: TrackedFlow,
+        packet: Packet,
+        now: float,
+    ) -> None:
+        """Record the time of an answer that is acknowledged now."""
+        seconds = now - flow.unanswered_since
         flow.upstream.limiter.answered(
             Answer(
                 seconds=seconds,
@@ -206,40 +223,40 @@
             ),
             now,
         )
-        if not flow.repeated:
+        if not flow.retransmitted:
             flow.upstream.health.record_answer_time(seconds)
             self.answers.append((flow.upstream.record.service, seconds))
 
-    def stop_waiting(self, flow: TrackedFlow) -> None:
-        """Count a flow out of those that wait for an answer."""
-        if flow.waiting_since:
-            flow.waiting_since = 0
+    def end_wait(self, flow: TrackedFlow) -> None:
+        """Stop counting a flow as waiting for an answer."""
+        if flow.unanswered_since:
+            flow.unanswered_since = 0
             flow.upstream.end_request()
 
-    def sent(
+    def handle_data(
         self,
         flow: TrackedFlow,
         packet: Packet,
         now: float,
         *,
-        fresh: bool,
+        is_reliable: bool,
     ) -> None:
-        """Take note of data, new or sent again.
+        """Record data of the client, new or retransmitted.
 
-        A repeat that is read right behind the packet before it has waited
-        here: this node stood still, and that tells nothing of the upstream.
+        `is_reliable` is False for a retransmission that may have waited in the
+        socket of this node, which proves nothing about the upstream.
         """
         if packet.seq != flow.seq:
             flow.seq = packet.seq
-            flow.repeated = False
-            if not flow.waiting_since:
-                flow.waiting_since = now
+            flow.retransmitted = False
+            if not flow.unanswered_since:
+                flow.unanswered_since = now
                 flow.upstream.begin_request()
                 flow.in_progress = flow.upstream.limiter.in_progress
-        elif flow.waiting_since:
-            flow.repeated = True
-            if fresh:
+        elif flow.unanswered_since:
+            flow.retransmitted = True
+            if is_reliable:
                 flow.upstream.health.record_retransmission(
                     packet.flow,
-                    flow.waiting_since,
+                    flow.unanswered_since,
                 )
