--- a/burdocksill/packets/losses.py
+++ b/burdocksill/packets/losses.py
@@ -76,7 +76,7 @@
         still be in its socket.
         """
         recent = upstream.limiter.recent
-        if self.flows.is_backlogged or not recent or upstream.is_listed:
+        if self.flows.is_backlogged or not recent or upstream.is_registered:
             return False
         longest = max(recent * EXPIRED_ANSWER_FACTOR, GROUP_MIN_SECONDS)
         return self.flows.has_waited_since(upstream, now - longest)
--- a/burdocksill/packets/outages.py
+++ b/burdocksill/packets/outages.py
@@ -170,7 +170,7 @@
         missed = [
             (observations.upstream, reporters)
             for observations in self.by_upstream.values()
-            if observations.upstream.is_listed
+            if observations.upstream.is_registered
             and (reporters := observations.reporters(begin))
         ]
         return OutageEvidence(
@@ -437,7 +437,7 @@
         if observations is not None and observations.is_confirmed(now):
             return True
         since = domain.suspected_since
-        if not domain.is_suspected(now) or upstream.since > since:
+        if not domain.is_suspected(now) or upstream.first_seen_at > since:
             return False
         answered_at = upstream.health.last_answer_at
         if observations is not None:
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -209,7 +209,7 @@
         well = (
             known
             for known in self.drawn(service, usable)
-            if self.upstreams.may_serve(known, now)
+            if self.upstreams.is_available(known, now)
             and self.rank(known, now, exclude) == WELL
         )
         return list(islice(well, MOST_COMPARED))
@@ -228,7 +228,9 @@
         """Return the own domain's upstreams that nothing speaks against."""
         return [
             known
-            for known in self.upstreams.of_domain(service, self.domain, now)
+            for known in self.upstreams.available_in_domain(
+                service, self.domain, now
+            )
             if self.rank(known, now, NO_EXCLUSIONS) == WELL
         ]
 
@@ -240,7 +242,7 @@
     ) -> tuple[list[KnownUpstream], ...]:
         """Return the upstreams of all domains, by what speaks against them."""
         ranks: tuple[list[KnownUpstream], ...] = tuple([] for _ in range(RANKS))
-        for known in self.upstreams.of_service(service, now):
+        for known in self.upstreams.available_in_service(service, now):
             if known.record.domain not in self.domains_out:
                 ranks[self.rank(known, now, exclude)].append(known)
         return ranks
@@ -278,7 +280,7 @@
         fitting = (
             known
             for known in self.drawn(service, [self.domain])
-            if self.upstreams.may_serve(known, now)
+            if self.upstreams.is_available(known, now)
             and self.rank(known, now, exclude) <= worst
             and has_capacity(known, urgency, now)
         )
@@ -295,7 +297,7 @@
         rest = [
             known
             for domain in domains
-            for known in self.upstreams.placed(service, domain)
+            for known in self.upstreams.candidates(service, domain)
         ]
         while rest:
             number = int(self.rng.random() * len(rest))
@@ -311,7 +313,7 @@
         exclude: Container[str],
     ) -> int:
         """Return how much speaks against an upstream."""
-        if self.upstreams.presence(known, now) is Presence.LAPSED:
+        if self.upstreams.presence(known, now) is Presence.EXPIRED:
             return LAPSED
         if known.record.name in exclude or known.health.is_ejected(now):
             return ASIDE
--- a/burdocksill/packets/upstreams.py
+++ b/burdocksill/packets/upstreams.py
@@ -1,4 +1,4 @@
-"""The upstreams that a node knows, and for how long an absent one counts."""
+"""Registry of the upstreams that a node knows, and their availability."""
 
 from __future__ import annotations
 
@@ -13,40 +13,42 @@
 if TYPE_CHECKING:
     from typing import Final
 
-# An entry that lapsed while the store was in trouble is back within two
-# seconds of its return if the upstream lives; the rest is for the way here.
+# A living upstream whose entry expired while the store was unavailable is
+# registered again within two seconds of the store's recovery. The rest is for
+# the delay until this node reads the entry.
 ABSENT_SECONDS: Final = 2.4
-# Flows may outlive their upstream's entry by the longest life of a flow.
-FORGET_SECONDS: Final = 90.0
-# An entry lapses after at most so long without a word of its upstream. Where
-# the store has worked for longer, it is the upstream that fell silent.
+# Flows may outlive their upstream's entry by at most the lifetime of a flow.
+RETENTION_SECONDS: Final = 90.0
+# An entry expires at most this long after its upstream last renewed its lease.
+# If the store has been healthy for longer, the upstream has stopped renewing.
 LEASE_SECONDS: Final = 3.0
 ECHO_MASK: Final = (1 << 32) - 1
 
 
 class Presence(enum.Enum):
-    """Name how sure it is that an upstream is there."""
+    """State of an upstream's registration."""
 
     PRESENT = 'present'
-    # Its entry vanished a moment ago, or while the store was in trouble.
-    LAPSED = 'lapsed'
+    # Its entry was removed recently, or while the store was unavailable, so
+    # that it may be registered again.
+    EXPIRED = 'expired'
     GONE = 'gone'
 
 
 class KnownUpstream:
-    """Hold an upstream's record and what this node has seen of it."""
+    """Hold an upstream's record and its state on this node."""
 
     __slots__ = (
         'absent_since',
+        'cold_until',
         'echo',
+        'first_seen_at',
         'flows',
         'health',
         'is_replaced',
         'limiter',
         'record',
-        'since',
         'waiting',
-        'warm_at',
     )
 
     def __init__(
@@ -54,71 +56,75 @@
         *,
         record: UpstreamRecord,
         echo: int,
-        since: float,
+        first_seen_at: float,
         limiter: ConcurrencyLimiter,
     ) -> None:
         """Take all fields."""
         self.record = record
         self.echo = echo
-        self.since = since
-        self.warm_at: float = 0
-        # When its entry vanished; 0 while it is there.
+        self.first_seen_at = first_seen_at
+        self.cold_until: float = 0
+        # When its entry was removed; 0 while it is registered.
         self.absent_since: float = 0
-        # True once another process is known to run in its place.
+        # True once another process runs under its name or address.
         self.is_replaced = False
         self.flows: int = 0
-        # Those of them whose client waits for an answer.
+        # Flows whose client waits for an answer.
         self.waiting: int = 0
         self.health: UpstreamHealth = UpstreamHealth()
-        # All upstreams of its service.
+        # Shared by all upstreams of its service.
         self.limiter = limiter
 
     @property
-    def is_listed(self) -> bool:
-        """Return True while its entry stands and no other replaces it."""
+    def is_registered(self) -> bool:
+        """Return True while it is registered and was not replaced."""
         return not self.absent_since and not self.is_replaced
 
     def presence(self, now: float, store_healthy_since: float) -> Presence:
-        """Tell whether it is gone; before a stable time nobody can know."""
+        """Return whether it is registered, may be again, or is gone for good.
+
+        It counts as gone only ABSENT_SECONDS after both the removal of its
+        entry and the time since which the store is healthy.
+        """
         if not self.absent_since:
             return Presence.PRESENT
         counted_from = max(self.absent_since, store_healthy_since)
         if now - counted_from < ABSENT_SECONDS:
-            return Presence.LAPSED
+            return Presence.EXPIRED
         return Presence.GONE
 
     def admits(self, urgency: int) -> bool:
-        """Return True when it would answer one more flow in time."""
-        room = self.limiter.limit_for(urgency)
-        own = max(1, room * self.record.slots)
-        return self.limiter.admits(urgency) and self.waiting < own
+        """Return True when it can answer one more flow in time."""
+        limit = self.limiter.limit_for(urgency)
+        own_limit = max(1, limit * self.record.slots)
+        return self.limiter.admits(urgency) and self.waiting < own_limit
 
     def begin_request(self) -> None:
-        """Count a client that waits for an answer."""
+        """Count one more request in progress."""
         self.waiting += 1
         self.limiter.waiting += 1
 
     def end_request(self) -> None:
-        """Count it out again."""
+        """Count one request in progress less."""
         self.waiting -= 1
         self.limiter.waiting -= 1
 
     def is_cold(self, now: float) -> bool:
-        """Return True while it is slow after its start."""
-        return now < self.warm_at
+        """Return True during its slow start."""
+        return now < self.cold_until
 
 
 def echo_of(record: UpstreamRecord) -> int:
-    """Return the 32 bits by which packets name an upstream.
+    """Return the 32-bit number that names an upstream in packet headers.
 
-    Tags are drawn at random, so their low bits tell upstreams apart as well
-    as any hash, and every node finds the same upstream without a table.
+    Tags are random, so their low bits are as unique as a hash, and all nodes
+    derive the same number without shared state.
     """
     return record.tag & ECHO_MASK
 
 
 class UpstreamRegistry:
-    """Find upstreams by service for new flows, by echo for open ones."""
+    """Index upstreams by service for new flows and by echo for open ones."""
 
     __slots__ = (
         'by_address',
@@ -132,176 +138,190 @@
     )
 
     def __init__(self) -> None:
-        """Begin with nothing known."""
+        """Start without upstreams."""
         self.by_name: dict[str, KnownUpstream] = {}
         self.by_echo: dict[int, KnownUpstream] = {}
-        # The process that started last behind each address.
+        # The process that was started last at each address.
         self.by_address: dict[tuple[str, int], KnownUpstream] = {}
-        # Those whose end, or whose entry's end, whoever follows their flows
-        # has not heard of yet.
+        # Upstreams that were replaced, or whose entry expired, and that were
+        # not returned by pop_replaced() or pop_expired() yet.
         self.replaced: list[KnownUpstream] = []
         self.expired: list[KnownUpstream] = []
-        # Those that want new flows, by service, failure domain and name.
+        # Upstreams that accept new flows, by service, failure domain and name.
         self.by_service: dict[str, dict[str, dict[str, KnownUpstream]]] = {}
-        # What is in progress, by service.
+        # By service.
         self.limiters: dict[str, ConcurrencyLimiter] = {}
-        # Since when the list has been read without trouble; 0 while that
-        # can't be.
+        # Since when the store has answered without failure; 0 while it is
+        # unavailable.
         self.store_healthy_since: float = 0
 
     def register(self, record: UpstreamRecord, now: float) -> bool:
-        """Take in an entry; return True if it differs in more than age."""
-        known = self.by_name.get(record.name)
-        if known is None or known.record.started_at != record.started_at:
-            self.add(record, now)
+        """Add or update an upstream; return False if nothing changed."""
+        upstream = self.by_name.get(record.name)
+        if upstream is None or upstream.record.started_at != record.started_at:
+            self.add_process(record, now)
             return True
-        changed = known.record != record or bool(known.absent_since)
-        self.remove_candidate(known)
-        known.record = record
-        known.absent_since = 0
-        self.add_candidate(known)
+        changed = upstream.record != record or bool(upstream.absent_since)
+        self.remove_candidate(upstream)
+        upstream.record = record
+        upstream.absent_since = 0
+        self.add_candidate(upstream)
         if record.cold_seconds:
-            known.warm_at = now + record.cold_seconds
+            upstream.cold_until = now + record.cold_seconds
         return changed
 
-    def add(self, record: UpstreamRecord, now: float) -> None:
-        """Start to know an upstream, or a new start of one."""
-        before = self.by_name.get(record.name)
-        if before is not None:
-            self.remove_candidate(before)
-        known = KnownUpstream(
+    def add_process(self, record: UpstreamRecord, now: float) -> None:
+        """Add a new upstream, or a new process of an existing one."""
+        previous = self.by_name.get(record.name)
+        if previous is not None:
+            self.remove_candidate(previous)
+        upstream = KnownUpstream(
             record=record,
             echo=echo_of(record),
-            since=now,
+            first_seen_at=now,
             limiter=self.limiters.setdefault(
-                record.service, ConcurrencyLimiter()
+                record.service,
+                ConcurrencyLimiter(),
             ),
         )
         if record.cold_seconds:
-            known.warm_at = now + record.cold_seconds
-        self.by_name[record.name] = known
-        holder = self.by_echo.get(known.echo)
-        # Of two upstreams with one echo the lower name keeps it, on every
-        # node alike; the other gets no flows, as their packets would go astray.
+            upstream.cold_until = now + record.cold_seconds
+        self.by_name[record.name] = upstream
+        holder = self.by_echo.get(upstream.echo)
+        # If two upstreams have the same echo, the one with the lower name keeps
+        # it on every node. The other gets no flows, because their packets would
+        # reach the wrong upstream.
         if holder is None or record.name <= holder.record.name:
-            self.by_echo[known.echo] = known
-        self.add_candidate(known)
-        if before is not None:
-            self.replace(before, known)
+            self.by_echo[upstream.echo] = upstream
+        self.add_candidate(upstream)
+        if previous is not None:
+            self.mark_replaced(previous, upstream)
         address = (record.host, record.port)
         holder = self.by_address.get(address)
         if holder is not None:
-            self.replace(holder, known)
-        self.by_address[address] = known
+            self.mark_replaced(holder, upstream)
+        self.by_address[address] = upstream
 
-    def replace(self, before: KnownUpstream, known: KnownUpstream) -> None:
-        """Take note that a process ended, as another one runs in its place.
+    def mark_replaced(
+        self,
+        previous: KnownUpstream,
+        upstream: KnownUpstream,
+    ) -> None:
+        """Mark a process as replaced by one that was started later.
 
-        Two that were read at once, or whose starts can't be compared, show
-        nothing: clocks of machines differ.
+        Nothing follows if both were read at the same time or if a start time is
+        unknown, because the clocks of two hosts may differ.
         """
-        is_later = 0 < before.record.started_at < known.record.started_at
-        if is_later and before.since < known.since and not before.is_replaced:
-            before.is_replaced = True
-            self.remove_candidate(before)
-            self.replaced.append(before)
+        is_later = 0 < previous.record.started_at < upstream.record.started_at
+        if (
+            is_later
+            and previous.first_seen_at < upstream.first_seen_at
+            and not previous.is_replaced
+        ):
+            previous.is_replaced = True
+            self.remove_candidate(previous)
+            self.replaced.append(previous)
 
     def pop_replaced(self) -> list[KnownUpstream]:
-        """Return the upstreams whose end nobody was told of yet."""
-        ended = self.replaced
+        """Return and remove those that were replaced since the last call."""
+        popped = self.replaced
         self.replaced = []
-        return ended
+        return popped
 
     def pop_expired(self) -> list[KnownUpstream]:
-        """Return the upstreams whose entry's end nobody was told of yet."""
-        lapsed = self.expired
+        """Return and remove those whose entry expired since the last call."""
+        popped = self.expired
         self.expired = []
-        return lapsed
+        return popped
 
     def add_candidate(self, known: KnownUpstream) -> None:
-        """Let new flows find an upstream that wants them."""
+        """Make an upstream available to new flows if it is ready."""
         record = known.record
         if record.state is UpstreamState.READY:
             domains = self.by_service.setdefault(record.service, {})
             domains.setdefault(record.domain, {})[record.name] = known
             known.limiter.slots += record.slots
 
-    def remove_candidate(self, known: KnownUpstream) -> None:
-        """Hide an upstream from new flows."""
-        record = known.record
+    def remove_candidate(self, upstream: KnownUpstream) -> None:
+        """Make an upstream unavailable to new flows."""
+        record = upstream.record
         domains = self.by_service.get(record.service, {})
-        placed = domains.get(record.domain, {})
-        if placed.get(record.name) is known:
-            del placed[record.name]
-            known.limiter.slots -= record.slots
+        candidates = domains.get(record.domain, {})
+        if candidates.get(record.name) is upstream:
+            del candidates[record.name]
+            upstream.limiter.slots -= record.slots
 
     def mark_absent(self, name: str, now: float) -> bool:
-        """Take note that an entry vanished; return True if it was there."""
-        known = self.by_name.get(name)
-        if known is None or known.absent_since:
+        """Record that an entry was removed; return False if it was absent."""
+        upstream = self.by_name.get(name)
+        if upstream is None or upstream.absent_since:
             return False
-        known.absent_since = now
-        if self.stopped_renewing(known):
-            self.expired.append(known)
+        upstream.absent_since = now
+        if self.stopped_renewing(upstream):
+            self.expired.append(upstream)
         return True
 
     def forget_old(self, now: float) -> None:
-        """Drop what has been absent for longer than any flow lives."""
-        for name, known in list(self.by_name.items()):
-            absent = known.absent_since
-            if absent and now - absent > FORGET_SECONDS:
+        """Remove upstreams that have been absent for RETENTION_SECONDS."""
+        for name, upstream in list(self.by_name.items()):
+            absent = upstream.absent_since
+            if absent and now - absent > RETENTION_SECONDS:
                 del self.by_name[name]
-                self.remove_candidate(known)
-                self.forget_address(known)
-                if self.by_echo.get(known.echo) is known:
-                    del self.by_echo[known.echo]
-
-    def forget_address(self, known: KnownUpstream) -> None:
-        """Drop an upstream as the one behind its address."""
-        address = (known.record.host, known.record.port)
-        if self.by_address.get(address) is known:
+                self.remove_candidate(upstream)
+                self.remove_address(upstream)
+                if self.by_echo.get(upstream.echo) is upstream:
+                    del self.by_echo[upstream.echo]
+
+    def remove_address(self, upstream: KnownUpstream) -> None:
+        """Remove an upstream from the index of addresses."""
+        address = (upstream.record.host, upstream.record.port)
+        if self.by_address.get(address) is upstream:
             del self.by_address[address]
 
-    def of_service(self, service: str, now: float) -> Iterator[KnownUpstream]:
-        """Return the upstreams of a service that may get new flows."""
+    def available_in_service(
+        self,
+        service: str,
+        now: float,
+    ) -> Iterator[KnownUpstream]:
+        """Yield the available upstreams of a service."""
         for domain in self.by_service.get(service, {}):
-            yield from self.of_domain(service, domain, now)
+            yield from self.available_in_domain(service, domain, now)
 
-    def of_domain(
+    def available_in_domain(
         self,
         service: str,
         domain: str,
         now: float,
     ) -> Iterator[KnownUpstream]:
-        """Return those of them in one failure domain."""
-        for known in self.placed(service, domain):
-            if self.may_serve(known, now):
-                yield known
+        """Yield the available upstreams of a service in one failure domain."""
+        for upstream in self.candidates(service, domain):
+            if self.is_available(upstream, now):
+                yield upstream
 
-    def placed(
+    def candidates(
         self,
         service: str,
         domain: str,
     ) -> Collection[KnownUpstream]:
-        """Return those that want new flows in one failure domain."""
+        """Return the upstreams of a failure domain that accept new flows."""
         return self.by_service.get(service, {}).get(domain, {}).values()
 
-    def may_serve(self, known: KnownUpstream, now: float) -> bool:
-        """Return True when packets find it, and it isn't known to be gone."""
+    def is_available(self, upstream: KnownUpstream, now: float) -> bool:
+        """Return True when its echo is its own and it is not gone for good."""
         return (
-            self.by_echo.get(known.echo) is known
-            and self.presence(known, now) is not Presence.GONE
+            self.by_echo.get(upstream.echo) is upstream
+            and self.presence(upstream, now) is not Presence.GONE
         )
 
-    def stopped_renewing(self, known: KnownUpstream) -> bool:
-        """Return True when an entry vanished that the store did not lose."""
+    def stopped_renewing(self, upstream: KnownUpstream) -> bool:
+        """Return True when its entry expired while the store was healthy."""
         since = self.store_healthy_since
-        return 0 < since <= known.absent_since - LEASE_SECONDS
+        return 0 < since <= upstream.absent_since - LEASE_SECONDS
 
-    def presence(self, known: KnownUpstream, now: float) -> Presence:
-        """Tell whether an upstream is gone, by what is certain."""
-        if known.is_replaced:
+    def presence(self, upstream: KnownUpstream, now: float) -> Presence:
+        """Return the state of an upstream's registration."""
+        if upstream.is_replaced:
             return Presence.GONE
-        if not self.store_healthy_since and known.absent_since:
-            return Presence.LAPSED
-        return known.presence(now, self.store_healthy_since)
+        if not self.store_healthy_since and upstream.absent_since:
+            return Presence.EXPIRED
+        return upstream.presence(now, self.store_healthy_since)
