--- a/burdocksill/packets/isolation.py
+++ b/burdocksill/packets/isolation.py
@@ -56,12 +56,14 @@
 
     def is_isolated(self, now: float) -> bool:
         """Return True when new flows have nowhere to go but home."""
-        if self.domain not in self.domains_out or not self.is_suspected(now):
+        if self.domain not in self.domains_out or not self.are_others_suspected(
+            now
+        ):
             return False
         self.on_suspected()
         return now < self.silent_until
 
-    def is_suspected(self, now: float) -> bool:
+    def are_others_suspected(self, now: float) -> bool:
         """Return True when all other domains in use must prove themselves."""
         others = self.other_domains()
         return bool(others) and all(
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -1,4 +1,4 @@
-"""Choose the upstream of a new flow."""
+"""Placement of new flows on upstreams."""
 
 from __future__ import annotations
 
@@ -23,52 +23,54 @@
 
     from burdocksill.packets.admission import ConcurrencyLimiter
 
-# A new flow leaves the own failure domain when the upstreams there have this
-# many requests in progress for each slot, as far as this node sees: it sees a
-# part of them, so they queue by then. A flow that stays at home outlives a cut
-# between the domains and pays for no bytes between them.
-SPILL_IN_PROGRESS: Final = 0.75
-# A cold upstream needs longer for each request, and its flows outlast that.
+# New flows spill over to other failure domains when the upstreams of the own
+# one have this many requests in progress for each slot. A node sees only a part
+# of the requests, so that they queue by then. Flows in the own domain survive a
+# partition between the domains and cause no traffic between them.
+SPILLOVER_LOAD: Final = 0.75
+# An upstream in slow start needs longer for each request, and its flows stay
+# after that.
 COLD_LOAD_FACTOR: Final = 1.6
-# A request in progress keeps a slot now; an open flow comes back later.
-WAITING_WEIGHT: Final = 2
-# Among more than these, a random sample is compared: its best is nearly the
-# best of all, and nodes don't all run to the same upstream.
-MOST_COMPARED: Final = 16
-# Above so many of a service a sample of all domains is looked at before all.
-MOST_RANKED: Final = 64
-# Nodes do not know each other. A cold upstream's limit is shared as if there
-# were this many. Larger fleets push it further than they should; what carries
-# those is on the capacity page.
+# A request in progress occupies a slot now, an open flow only later again.
+IN_PROGRESS_WEIGHT: Final = 2
+# Number of random candidates whose loads are compared. The best of them is
+# nearly the best of all, and nodes don't all choose the same upstream.
+SAMPLE_SIZE: Final = 16
+# If a service has more upstreams than this, a sample of all domains is tried
+# before all upstreams are ranked.
+MAX_FULL_SCAN: Final = 64
+# Nodes do not know each other. The limit of an upstream in slow start is
+# divided as if there were this many nodes. Larger fleets exceed the limit; the
+# capacity page says what carries their flows.
 ASSUMED_NODES: Final = 16
-# Ranks of candidates: a lower one is taken whenever there is any.
-WELL: Final = 0
-# Its domain has lost many upstreams, and it has not answered since.
+# Ranks of candidates: those of a lower rank are preferred.
+HEALTHY: Final = 0
+# Its domain is suspected, and it has not answered since.
 SUSPECTED: Final = 1
-ASIDE: Final = 2
-LAPSED: Final = 3
+EJECTED: Final = 2
+EXPIRED: Final = 3
 RANKS: Final = 4
-# The part of the new flows that a suspected domain gets as a trial: what is
-# back is found by one of them, and the rest reach an upstream that answers.
+# Fraction of the new flows that are sent to a suspected domain as a trial. They
+# find upstreams that answer again, while all other flows go to other domains.
 TRIAL_SHARE: Final = 1 / 16
 NO_EXCLUSIONS: Final[frozenset[str]] = frozenset()
 
 
 class ColdBudget:
-    """Space the new flows that one node gives to a cold upstream.
+    """Limit the rate of new flows from this node to each cold upstream.
 
-    A second's worth at once would be allowed to each node alone, and together
-    they would push the upstream over.
+    Flows are spaced evenly. If each node could send a second's worth at once,
+    the bursts of all nodes together would overload the upstream.
     """
 
     __slots__ = ('next_at',)
 
     def __init__(self) -> None:
-        """Begin with nothing known."""
+        """Start without upstreams."""
         self.next_at: dict[str, float] = {}
 
-    def take(self, name: str, now: float, per_second: float) -> bool:
-        """Count a flow if the one before it lies back far enough."""
+    def admit(self, name: str, now: float, per_second: float) -> bool:
+        """Count a flow if the interval since the last is long enough."""
         if now < self.next_at.get(name, 0):
             return False
         self.next_at[name] = now + 1 / per_second
@@ -76,10 +78,10 @@
 
 
 class PacketPlacer:
-    """Choose the least loaded upstream of the own failure domain.
+    """Choose the least loaded upstream, preferably of the own failure domain.
 
-    Load is what this node itself sees open. Nodes do not share it, so they
-    don't all run to the same upstream at once.
+    The load counts only flows and requests of this node. Nodes do not share it,
+    so they don't all choose the same upstream at once.
     """
 
     __slots__ = (
@@ -87,7 +89,7 @@
         'domain',
         'domains_out',
         'isolation',
-        'nodes',
+        'node_count',
         'outages',
         'rng',
         'table',
@@ -102,7 +104,7 @@
         upstreams: UpstreamRegistry,
         rng: Random,
         budget: ColdBudget | None = None,
-        nodes: int = ASSUMED_NODES,
+        node_count: int = ASSUMED_NODES,
         outages: DomainOutageDetector | None = None,
     ) -> None:
         """Take all fields."""
@@ -110,13 +112,13 @@
         self.table = table
         self.upstreams = upstreams
         self.rng = rng
-        # Failure domains that operators have taken out.
+        # Failure domains that operators have taken out of service.
         self.domains_out: set[str] = set()
         self.budget: ColdBudget = ColdBudget() if budget is None else budget
-        # How many nodes may send to the same cold upstream.
-        self.nodes = nodes
+        # Number of nodes that share the limit of a cold upstream.
+        self.node_count = node_count
         self.outages: DomainOutageDetector = outages or DomainOutageDetector(
-            upstreams
+            upstreams,
         )
         self.isolation: IsolationDetector = IsolationDetector(
             domain=domain,
@@ -134,8 +136,13 @@
         """Return an upstream for a new flow, or why there is none."""
         urgency = self.table.least_urgent - route.priority
         reason = Reason.NO_UPSTREAM
-        for share in self.shuffled(route.weighted_services):
-            chosen = self.place_at(share.service, urgency, now, exclude)
+        for weighted in self.in_weighted_order(route.weighted_services):
+            chosen = self.place_in_service(
+                weighted.service,
+                urgency,
+                now,
+                exclude,
+            )
             if isinstance(chosen, KnownUpstream):
                 return chosen
             if chosen is Reason.OVERLOADED:
@@ -143,127 +150,134 @@
         return reason
 
     def limiters_of(self, route: Route) -> dict[str, ConcurrencyLimiter]:
-        """Return what is in progress on the services of a route."""
+        """Return the limiters of a route's services, by service."""
         limiters = self.upstreams.limiters
         return {
-            share.service: limiters[share.service]
-            for share in route.weighted_services
-            if share.service in limiters
+            weighted.service: limiters[weighted.service]
+            for weighted in route.weighted_services
+            if weighted.service in limiters
         }
 
-    def shuffled(
-        self, weighted_services: tuple[WeightedService, ...]
+    def in_weighted_order(
+        self,
+        weighted_services: tuple[WeightedService, ...],
     ) -> list[WeightedService]:
-        """Return the services in a random order that follows the weights."""
-        rest = [share for share in weighted_services if share.weight > 0]
+        """Return the services in a random order, drawn by their weights."""
+        remaining = [
+            weighted for weighted in weighted_services if weighted.weight > 0
+        ]
         ordered: list[WeightedService] = []
-        while rest:
-            weights = [share.weight for share in rest]
-            chosen = self.rng.choices(rest, weights)[0]
-            rest.remove(chosen)
+        while remaining:
+            weights = [weighted.weight for weighted in remaining]
+            chosen = self.rng.choices(remaining, weights)[0]
+            remaining.remove(chosen)
             ordered.append(chosen)
         return ordered
 
-    def place_at(
+    def place_in_service(
         self,
         service: str,
         urgency: int,
         now: float,
         exclude: Container[str],
     ) -> KnownUpstream | Reason:
-        """Return an upstream of a service, the best rank first.
+        """Return an upstream of a service, of the lowest rank that has one.
 
-        Mostly the own failure domain has one that is well, and then nobody
-        looks at the others, of which a large fleet has many.
+        Usually the own failure domain has a healthy one. Then the others are
+        not looked at, because a large fleet has many of them.
         """
-        worst = SUSPECTED if self.tries_suspected(now) else WELL
-        if worst == WELL and self.isolation.is_isolated(now):
-            home = self.home(service, now)
-            chosen = self.first_open(home, urgency, now)
+        max_rank = SUSPECTED if self.is_trial(now) else HEALTHY
+        if max_rank == HEALTHY and self.isolation.is_isolated(now):
+            fallback = self.healthy_local(service, now)
+            chosen = self.first_admitting(fallback, urgency, now)
             if chosen is not None:
                 return chosen
-        local = self.place_local(service, urgency, now, exclude, worst)
+        local = self.place_local(service, urgency, now, exclude, max_rank)
         if local is not None:
             return local
-        some = self.some_well(service, now, exclude)
-        chosen = self.first_open(some, urgency, now)
+        sample = self.sample_healthy(service, now, exclude)
+        chosen = self.first_admitting(sample, urgency, now)
         if isinstance(chosen, KnownUpstream):
             return chosen
-        for candidates in self.ranked(service, now, exclude):
-            chosen = self.first_open(candidates, urgency, now)
+        for candidates in self.by_rank(service, now, exclude):
+            chosen = self.first_admitting(candidates, urgency, now)
             if chosen is not None:
                 return chosen
         return Reason.NO_UPSTREAM
 
-    def some_well(
+    def sample_healthy(
         self,
         service: str,
         now: float,
         exclude: Container[str],
     ) -> list[KnownUpstream]:
-        """Return some of the best rank, none where there are few in all."""
+        """Return a sample of healthy upstreams, empty for a small service."""
         domains = self.upstreams.by_service.get(service, {})
-        if sum(len(placed) for placed in domains.values()) <= MOST_RANKED:
+        if (
+            sum(len(candidates) for candidates in domains.values())
+            <= MAX_FULL_SCAN
+        ):
             return []
         usable = [name for name in domains if name not in self.domains_out]
-        well = (
-            known
-            for known in self.drawn(service, usable)
-            if self.upstreams.is_available(known, now)
-            and self.rank(known, now, exclude) == WELL
+        healthy = (
+            upstream
+            for upstream in self.in_random_order(service, usable)
+            if self.upstreams.is_available(upstream, now)
+            and self.rank(upstream, now, exclude) == HEALTHY
         )
-        return list(islice(well, MOST_COMPARED))
+        return list(islice(healthy, SAMPLE_SIZE))
 
-    def tries_suspected(self, now: float) -> bool:
-        """Return True for the few new flows that test a suspected domain.
+    def is_trial(self, now: float) -> bool:
+        """Return True for the fraction of flows that probe suspected domains.
 
-        A domain that is cut off tests the others.
+        If the own domain is out of service and isolated, they probe the others.
         """
         in_trial = self.outages.is_domain_suspected(self.domain, now)
         if not in_trial and self.domain in self.domains_out:
-            in_trial = self.isolation.is_suspected(now)
+            in_trial = self.isolation.are_others_suspected(now)
         return in_trial and self.rng.random() < TRIAL_SHARE
 
-    def home(self, service: str, now: float) -> list[KnownUpstream]:
-        """Return the own domain's upstreams that nothing speaks against."""
+    def healthy_local(self, service: str, now: float) -> list[KnownUpstream]:
+        """Return the healthy upstreams of the own failure domain."""
         return [
-            known
-            for known in self.upstreams.available_in_domain(
+            upstream
+            for upstream in self.upstreams.available_in_domain(
                 service, self.domain, now
             )
-            if self.rank(known, now, NO_EXCLUSIONS) == WELL
+            if self.rank(upstream, now, NO_EXCLUSIONS) == HEALTHY
         ]
 
-    def ranked(
+    def by_rank(
         self,
         service: str,
         now: float,
         exclude: Container[str],
     ) -> tuple[list[KnownUpstream], ...]:
-        """Return the upstreams of all domains, by what speaks against them."""
+        """Return the upstreams of all domains in service, grouped by rank."""
         ranks: tuple[list[KnownUpstream], ...] = tuple([] for _ in range(RANKS))
-        for known in self.upstreams.available_in_service(service, now):
-            if known.record.domain not in self.domains_out:
-                ranks[self.rank(known, now, exclude)].append(known)
+        for upstream in self.upstreams.available_in_service(service, now):
+            if upstream.record.domain not in self.domains_out:
+                ranks[self.rank(upstream, now, exclude)].append(upstream)
         return ranks
 
-    def first_open(
+    def first_admitting(
         self,
         candidates: list[KnownUpstream],
         urgency: int,
         now: float,
     ) -> KnownUpstream | Reason | None:
-        """Return the best that has room, OVERLOADED where only that lacks.
+        """Return the best candidate that admits the flow.
 
-        Where those that are well have no room, one that was put aside for its
-        silence is no way out.
+        Returns OVERLOADED if a candidate was at its limit, so that the caller
+        does not fall back on a higher rank: an ejected upstream is no
+        substitute for a healthy one that is full. Returns None otherwise.
         """
         reason = None
-        for known in self.by_preference(candidates, now):
-            if not known.admits(urgency):
+        for upstream in self.by_preference(candidates, now):
+            if not upstream.admits(urgency):
                 reason = Reason.OVERLOADED
-            elif not known.is_cold(now) or self.take_cold(known, now):
-                return known
+            elif not upstream.is_cold(now) or self.admit_cold(upstream, now):
+                return upstream
         return reason
 
     def place_local(
@@ -272,55 +286,55 @@
         urgency: int,
         now: float,
         exclude: Container[str],
-        worst: int = WELL,
+        max_rank: int = HEALTHY,
     ) -> KnownUpstream | None:
-        """Return a warm upstream of the own domain that does not queue."""
+        """Return an upstream of the own domain that has capacity, or None."""
         if self.domain in self.domains_out:
             return None
-        fitting = (
-            known
-            for known in self.drawn(service, [self.domain])
-            if self.upstreams.is_available(known, now)
-            and self.rank(known, now, exclude) <= worst
-            and has_capacity(known, urgency, now)
+        eligible = (
+            upstream
+            for upstream in self.in_random_order(service, [self.domain])
+            if self.upstreams.is_available(upstream, now)
+            and self.rank(upstream, now, exclude) <= max_rank
+            and has_capacity(upstream, urgency, now)
         )
-        found = list(islice(fitting, MOST_COMPARED))
+        found = list(islice(eligible, SAMPLE_SIZE))
         ordered = self.by_preference(found, now)
         return ordered[0] if ordered else None
 
-    def drawn(
+    def in_random_order(
         self,
         service: str,
         domains: Iterable[str],
     ) -> Iterator[KnownUpstream]:
-        """Return upstreams in a random order, drawn as they are asked for."""
-        rest = [
-            known
+        """Yield the candidates of domains in a random order, drawn lazily."""
+        remaining = [
+            upstream
             for domain in domains
-            for known in self.upstreams.candidates(service, domain)
+            for upstream in self.upstreams.candidates(service, domain)
         ]
-        while rest:
-            number = int(self.rng.random() * len(rest))
-            chosen = rest[number]
-            rest[number] = rest[-1]
-            rest.pop()
+        while remaining:
+            number = int(self.rng.random() * len(remaining))
+            chosen = remaining[number]
+            remaining[number] = remaining[-1]
+            remaining.pop()
             yield chosen
 
     def rank(
         self,
-        known: KnownUpstream,
+        upstream: KnownUpstream,
         now: float,
         exclude: Container[str],
     ) -> int:
-        """Return how much speaks against an upstream."""
-        if self.upstreams.presence(known, now) is Presence.EXPIRED:
-            return LAPSED
-        if known.record.name in exclude or known.health.is_ejected(now):
-            return ASIDE
+        """Return the rank of an upstream."""
+        if self.upstreams.presence(upstream, now) is Presence.EXPIRED:
+            return EXPIRED
+        if upstream.record.name in exclude or upstream.health.is_ejected(now):
+            return EJECTED
         return (
             SUSPECTED
-            if self.outages.is_upstream_suspected(known, now)
-            else WELL
+            if self.outages.is_upstream_suspected(upstream, now)
+            else HEALTHY
         )
 
     def by_preference(
@@ -328,48 +342,55 @@
         candidates: list[KnownUpstream],
         now: float,
     ) -> list[KnownUpstream]:
-        """Sort by load, the own failure domain first unless it queues."""
+        """Sort by load, the own failure domain first unless requests queue."""
         keyed = [
-            (self.load(known, now), self.rng.random(), known)
-            for known in candidates
+            (self.load(upstream, now), self.rng.random(), upstream)
+            for upstream in candidates
         ]
         keyed.sort(key=lambda one: one[:2])
-        ordered = [known for _, _, known in keyed]
+        ordered = [upstream for _, _, upstream in keyed]
         local = [one for one in ordered if one.record.domain == self.domain]
         remote = [one for one in ordered if one.record.domain != self.domain]
-        if local and remote and queues(local[0]) and not queues(remote[0]):
+        if (
+            local
+            and remote
+            and is_queueing(local[0])
+            and not is_queueing(remote[0])
+        ):
             return [*remote, *local]
         return [*local, *remote]
 
-    def load(self, known: KnownUpstream, now: float) -> float:
-        """Return the flows for each slot: long flows keep coming back."""
+    def load(self, upstream: KnownUpstream, now: float) -> float:
+        """Return the weighted flows and requests for each slot."""
         load = (
-            known.flows + known.waiting * WAITING_WEIGHT
-        ) / known.record.slots
-        if known.is_cold(now):
+            upstream.flows + upstream.waiting * IN_PROGRESS_WEIGHT
+        ) / upstream.record.slots
+        if upstream.is_cold(now):
             load = (load + 1) * COLD_LOAD_FACTOR
         return load
 
     def cold_limit(self, service: str) -> float:
-        """Return this node's share of what a cold upstream may get."""
+        """Return this node's share of a cold upstream's limit per second."""
         limit = self.table.limits(service).cold_per_second
-        return limit / max(1, self.nodes) if limit else float('inf')
+        return limit / max(1, self.node_count) if limit else float('inf')
 
-    def take_cold(self, known: KnownUpstream, now: float) -> bool:
-        """Count a new flow on a cold upstream if it can bear it."""
-        limit = self.cold_limit(known.record.service)
+    def admit_cold(self, upstream: KnownUpstream, now: float) -> bool:
+        """Count a new flow on a cold upstream if its limit admits it."""
+        limit = self.cold_limit(upstream.record.service)
         if limit == float('inf'):
             return True
-        return self.budget.take(known.record.name, now, limit)
+        return self.budget.admit(upstream.record.name, now, limit)
 
 
-def has_capacity(known: KnownUpstream, urgency: int, now: float) -> bool:
-    """Return True when it is warm and would answer one more flow at once."""
+def has_capacity(upstream: KnownUpstream, urgency: int, now: float) -> bool:
+    """Return True when it is not cold and can answer without queueing."""
     return (
-        not known.is_cold(now) and not queues(known) and known.admits(urgency)
+        not upstream.is_cold(now)
+        and not is_queueing(upstream)
+        and upstream.admits(urgency)
     )
 
 
-def queues(known: KnownUpstream) -> bool:
-    """Return True when requests wait at an upstream, as far as is seen."""
-    return known.waiting > known.record.slots * SPILL_IN_PROGRESS
+def is_queueing(upstream: KnownUpstream) -> bool:
+    """Return True when this node's requests show that an upstream queues."""
+    return upstream.waiting > upstream.record.slots * SPILLOVER_LOAD
