--- a/burdocksill/packets/isolation.py
+++ b/burdocksill/packets/isolation.py
@@ -1,10 +1,10 @@
-"""Tell whether a failure domain that was taken out is cut off from all others.
+"""Detect that the own failure domain is partitioned from all others.
 
-Answers the load of a domain whose upstreams operators have taken out while a
-cut keeps its nodes from those of all other domains: its clients would get
-nothing for as long as the cut lasts. Operators ask for what their store can
-tell a node; one that neither reaches the store nor any other domain serves at
-home, as the last resort that its clients have.
+Operators may take a failure domain out of service while a network partition
+separates its nodes from the upstreams of all other domains. Its clients would
+then not be served until the partition ends. Operators' orders hold as far as
+the store can deliver them: a node that reaches neither the store nor any other
+domain uses the upstreams of its own domain, as the last resort of its clients.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 
     from burdocksill.packets.upstreams import UpstreamRegistry
 
-# A call that the store did not answer counts for so long; it is made again
-# sooner, for as long as the other domains are suspected.
-SILENT_SECONDS: Final = 1.0
+# Time for which an unanswered call counts as an unreachable store. The call is
+# repeated sooner while the other domains are suspected.
+UNREACHABLE_SECONDS: Final = 1.0
 
 
 class IsolationDetector:
-    """Hold what speaks for a cut around the own failure domain."""
+    """Decide whether new flows must stay in an own domain out of service."""
 
     __slots__ = (
         'domain',
         'domains_out',
         'on_suspected',
         'outages',
-        'silent_until',
+        'unreachable_until',
         'upstreams',
     )
 
@@ -44,45 +44,50 @@
         upstreams: UpstreamRegistry,
         outages: DomainOutageDetector,
     ) -> None:
-        """Take all fields; `domains_out` are those taken out."""
+        """Take all fields; `domains_out` are those taken out of service."""
         self.domain = domain
         self.domains_out = domains_out
         self.upstreams = upstreams
         self.outages = outages
-        # Until when the store counts as out of reach.
-        self.silent_until = float('-inf')
-        # Called while only the store can tell whether this is a cut.
+        # Until when the store counts as unreachable.
+        self.unreachable_until = float('-inf')
+        # Called while the state of the store decides; starts a probe of it.
         self.on_suspected: Callable[[], None] = ignore_event
 
     def is_isolated(self, now: float) -> bool:
-        """Return True when new flows have nowhere to go but home."""
+        """Return True when neither the store nor other domains are reachable.
+
+        Always False while the own domain is in service.
+        """
         if self.domain not in self.domains_out or not self.are_others_suspected(
             now
         ):
             return False
         self.on_suspected()
-        return now < self.silent_until
+        return now < self.unreachable_until
 
     def are_others_suspected(self, now: float) -> bool:
-        """Return True when all other domains in use must prove themselves."""
+        """Return True when all other domains in service are suspected."""
         others = self.other_domains()
         return bool(others) and all(
             self.outages.is_domain_suspected(name, now) for name in others
         )
 
     def other_domains(self) -> set[str]:
-        """Return the other domains with upstreams that want new flows."""
+        """Return the other domains in service with upstreams for new flows."""
         return {
             name
             for domains in self.upstreams.by_service.values()
-            for name, placed in domains.items()
-            if placed and name != self.domain and name not in self.domains_out
+            for name, candidates in domains.items()
+            if candidates
+            and name != self.domain
+            and name not in self.domains_out
         }
 
     def record_store_timeout(self, now: float) -> None:
-        """Take note that the store left a call without an answer."""
-        self.silent_until = now + SILENT_SECONDS
+        """Record that the store did not answer a call."""
+        self.unreachable_until = now + UNREACHABLE_SECONDS
 
     def record_store_answer(self) -> None:
-        """Take note that the store can be reached."""
-        self.silent_until = float('-inf')
+        """Record that the store is reachable."""
+        self.unreachable_until = float('-inf')
