--- a/burdocksill/packets/admission.py
+++ b/burdocksill/packets/admission.py
@@ -1,8 +1,8 @@
-"""Decide whether the upstreams of a service can take one more flow in time.
+"""Admission control: an adaptive concurrency limit for each service.
 
-Answers the load of more clients than there are slots: every queue fills, and
-nearly all answers come late. A refused opening has run nowhere, and its client
-may return; one that waits behind a full queue is late for certain.
+With more clients than slots every queue fills, and nearly all answers would be
+late. A refused opening was sent to no upstream, so that its client can safely
+try again; one that waits behind a full queue is late for certain.
 """
 
 from __future__ import annotations
@@ -11,33 +11,36 @@
 if TYPE_CHECKING:
     from typing import Final
 
-# Requests in progress for each slot, as far as one node sees them: where an
-# observation starts, and above which nothing is concluded.
-MOST_IN_PROGRESS: Final = 3.0
-# An answer is in time for a client if it is seen within this part of the
-# objective: the opening and the way to the client take the rest.
-OBJECTIVE_SHARE: Final = 0.75
-# How far one late answer moves the limit to what would have been in time, and
-# by which part one in time raises it.
-LATE_STEP: Final = 0.1
-IN_TIME_STEP: Final = 0.015
-# An answer of less than this part of the usual size tells nothing: an upstream
-# whose queue is full refuses in a few bytes, and sooner than any answer comes.
-SHORT_SHARE: Final = 0.4
-SIZE_STEP: Final = 0.02
-RECENT_STEP: Final = 0.1
-# An answer that takes less than so many times the usual one has not queued.
+# Upper bound and initial value of the limit, in requests in progress for each
+# slot, as far as one node sees them. Above it nothing is concluded from answers.
+MAX_LIMIT: Final = 3.0
+# An answer is in time for a client if it is seen within this fraction of the
+# objective; the opening and the network delay to the client take the rest.
+OBJECTIVE_FRACTION: Final = 0.75
+# How far a late answer moves the limit towards the value that would have been
+# in time, as an exponent, and the fraction by which one in time raises it.
+DECREASE_EXPONENT: Final = 0.1
+INCREASE_FRACTION: Final = 0.015
+# Answers shorter than this fraction of the usual size do not move the limit: an
+# upstream whose queue is full refuses with a few bytes, faster than it answers.
+SHORT_FRACTION: Final = 0.4
+# Smoothing factors of the moving averages of answer sizes and answer times.
+SIZE_SMOOTHING: Final = 0.02
+RECENT_SMOOTHING: Final = 0.1
+# An answer that takes less than this many times the baseline has not queued.
 QUEUED_FACTOR: Final = 4.0
-# The usual answer follows what is faster at once, and what is slower by this
-# part a second: where no upstream can be in time to refuse helps nobody.
-SLOWER_PER_SECOND: Final = 0.1
-FASTER_STEP: Final = 0.1
-# How much more each step of urgency may have in progress than the least.
-URGENT_EXTRA: Final = 0.75
+# The baseline moves towards a faster answer by the smoothing factor, and rises
+# towards slower ones by at most this fraction per second. It has to rise because
+# refusals help nobody if no upstream can answer in time any more.
+BASELINE_GROWTH_PER_SECOND: Final = 0.1
+BASELINE_SMOOTHING: Final = 0.1
+# Each step of urgency above the least urgent priority raises the limit by this
+# fraction.
+URGENCY_FRACTION: Final = 0.75
 
 
-class Answer:
-    """Hold what a client's packets tell of one answer."""
+class AnswerSample:
+    """Hold what a client's packets show about one answer."""
 
     __slots__ = ('in_progress', 'objective_seconds', 'seconds', 'size')
 
@@ -49,37 +52,40 @@
         in_progress: float,
         objective_seconds: float,
     ) -> None:
-        """Take the time, the bytes and what the client wanted."""
+        """Take the seconds, the bytes, the load and the client's objective."""
         self.seconds = seconds
         self.size = size
-        # On all upstreams of the service, for each slot, when it was asked.
+        # Requests in progress for each slot of the service, when it was sent.
         self.in_progress = in_progress
         self.objective_seconds = objective_seconds
 
 
 class ConcurrencyLimiter:
-    """Hold what one node sees in progress on the upstreams of a service."""
+    """Limit the requests in progress on the upstreams of a service.
+
+    It counts and limits the requests of one node.
+    """
 
     __slots__ = (
+        'baseline_at',
         'baseline_seconds',
         'limit',
-        'recent',
+        'recent_seconds',
         'slots',
-        'usual_at',
         'usual_size',
         'waiting',
     )
 
     def __init__(self) -> None:
-        """Start without a limit that binds."""
+        """Start at the upper bound of the limit."""
         self.slots = 0
         self.waiting = 0
-        self.limit = MOST_IN_PROGRESS
-        # What answers take now, queued or not; 0 before the first.
-        self.recent: float = 0
-        # What answers take that need not queue; 0 before the first.
+        self.limit = MAX_LIMIT
+        # Moving average of answer times, with queueing; 0 while unknown.
+        self.recent_seconds: float = 0
+        # Answer time without queueing; 0 while unknown.
         self.baseline_seconds: float = 0
-        self.usual_at: float = 0
+        self.baseline_at: float = 0
         self.usual_size: float = 0
 
     @property
@@ -88,48 +94,52 @@
         return self.waiting / self.slots if self.slots else 0
 
     def limit_for(self, urgency: int) -> float:
-        """Return how many requests may be in progress for each slot."""
-        return self.limit * (1 + URGENT_EXTRA * urgency)
+        """Return the limit for an urgency, in requests for each slot."""
+        return self.limit * (1 + URGENCY_FRACTION * urgency)
 
     def admits(self, urgency: int) -> bool:
         """Return True when one more flow would be answered in time.
 
-        While nothing of this node's is in progress there it always would:
-        without answers the limit would stay where it is for good.
+        Always True while this node has no request in progress. Without answers
+        the limit would never change again.
         """
         return not self.waiting or self.in_progress < self.limit_for(urgency)
 
-    def answered(self, answer: Answer, now: float) -> None:
-        """Move the limit by what one answer took."""
-        step = RECENT_STEP if self.recent else 1
-        self.recent += (answer.seconds - self.recent) * step
-        short = answer.size < self.usual_size * SHORT_SHARE
-        self.usual_size += (answer.size - self.usual_size) * SIZE_STEP
-        if short or not answer.objective_seconds:
+    def record_answer(self, sample: AnswerSample, now: float) -> None:
+        """Adjust the limit by the time that an answer took."""
+        weight = RECENT_SMOOTHING if self.recent_seconds else 1
+        self.recent_seconds += (sample.seconds - self.recent_seconds) * weight
+        is_short = sample.size < self.usual_size * SHORT_FRACTION
+        self.usual_size += (sample.size - self.usual_size) * SIZE_SMOOTHING
+        if is_short or not sample.objective_seconds:
             return
-        self.remember_usual(answer.seconds, now)
-        wanted = max(
-            answer.objective_seconds * OBJECTIVE_SHARE,
+        self.update_baseline(sample.seconds, now)
+        longest = max(
+            sample.objective_seconds * OBJECTIVE_FRACTION,
             self.baseline_seconds * QUEUED_FACTOR,
         )
-        if answer.seconds <= wanted:
-            self.limit += self.limit * IN_TIME_STEP
+        if sample.seconds <= longest:
+            self.limit += self.limit * INCREASE_FRACTION
         else:
-            fitting = answer.in_progress * wanted / answer.seconds
-            self.limit *= min(1, fitting / self.limit) ** LATE_STEP
-        self.limit = min(self.limit, MOST_IN_PROGRESS)
-
-    def remember_usual(self, seconds: float, now: float) -> None:
-        """Keep what answers take that need not queue."""
-        gap = now - self.usual_at
-        self.usual_at = now
+            fitting_limit = sample.in_progress * longest / sample.seconds
+            self.limit *= (
+                min(1, fitting_limit / self.limit) ** DECREASE_EXPONENT
+            )
+        self.limit = min(self.limit, MAX_LIMIT)
+
+    def update_baseline(self, seconds: float, now: float) -> None:
+        """Update the answer time without queueing."""
+        elapsed = now - self.baseline_at
+        self.baseline_at = now
         if self.baseline_seconds == 0:
             self.baseline_seconds = seconds
             return
         if seconds < self.baseline_seconds:
             self.baseline_seconds += (
                 seconds - self.baseline_seconds
-            ) * FASTER_STEP
+            ) * BASELINE_SMOOTHING
             return
-        slower = self.baseline_seconds * (1 + SLOWER_PER_SECOND * gap)
-        self.baseline_seconds = min(seconds, slower)
+        highest = self.baseline_seconds * (
+            1 + BASELINE_GROWTH_PER_SECOND * elapsed
+        )
+        self.baseline_seconds = min(seconds, highest)
--- a/burdocksill/packets/flows.py
+++ b/burdocksill/packets/flows.py
@@ -10,7 +10,7 @@
 from collections import deque
 from collections.abc import Iterator
 
-from burdocksill.packets.admission import Answer
+from burdocksill.packets.admission import AnswerSample
 from burdocksill.packets.header import (
     FIN,
     RST,
@@ -214,8 +214,8 @@
     ) -> None:
         """Record the time of an answer that is acknowledged now."""
         seconds = now - flow.unanswered_since
-        flow.upstream.limiter.answered(
-            Answer(
+        flow.upstream.limiter.record_answer(
+            AnswerSample(
                 seconds=seconds,
                 in_progress=flow.in_progress,
                 size=sequence_distance(packet.ack, flow.ack),
--- a/burdocksill/packets/losses.py
+++ b/burdocksill/packets/losses.py
@@ -54,7 +54,9 @@
         if presence is Presence.GONE and health.unanswered_flows:
             return Reason.UPSTREAM_GONE
         expired = self.upstreams.stopped_renewing(upstream)
-        if expired and health.has_overdue_flow(now, upstream.limiter.recent):
+        if expired and health.has_overdue_flow(
+            now, upstream.limiter.recent_seconds
+        ):
             return Reason.UPSTREAM_GONE
         return None
 
@@ -75,7 +77,7 @@
         Always False on a backlogged node: the acknowledgement of the answer may
         still be in its socket.
         """
-        recent = upstream.limiter.recent
+        recent = upstream.limiter.recent_seconds
         if self.flows.is_backlogged or not recent or upstream.is_registered:
             return False
         longest = max(recent * EXPIRED_ANSWER_FACTOR, GROUP_MIN_SECONDS)
