--- a/burdocksill/packets/admission.py
+++ b/burdocksill/packets/admission.py
@@ -12,7 +12,7 @@
     from typing import Final
 
 # Upper bound and initial value of the limit, in requests in progress for each
-# slot, as far as one node sees them. Above it nothing is concluded from answers.
+# slot, as far as one node sees them. Above it answers prove nothing.
 MAX_LIMIT: Final = 3.0
 # An answer is in time for a client if it is seen within this fraction of the
 # objective; the opening and the network delay to the client take the rest.
@@ -30,7 +30,7 @@
 # An answer that takes less than this many times the baseline has not queued.
 QUEUED_FACTOR: Final = 4.0
 # The baseline moves towards a faster answer by the smoothing factor, and rises
-# towards slower ones by at most this fraction per second. It has to rise because
+# towards slower ones by at most this fraction per second. It has to rise, as
 # refusals help nobody if no upstream can answer in time any more.
 BASELINE_GROWTH_PER_SECOND: Final = 0.1
 BASELINE_SMOOTHING: Final = 0.1
