--- a/tests/steps/packets_outages.py
+++ b/tests/steps/packets_outages.py
@@ -1,4 +1,4 @@
-"""Steps that let upstreams of a failure domain die together."""
+"""Steps in which upstreams of a failure domain fail together."""
 
 import json
 import tempfile
@@ -20,14 +20,14 @@
 
 
 def deployment_of(context: Context) -> OutageDeployment:
-    """Return the deployment, built when it is first asked for."""
+    """Return the deployment, built on the first call."""
     deployment: OutageDeployment = context.deployment
     if not deployment.callers:
         deployment.build()
     return deployment
 
 
-def first(context: Context) -> list[LabUpstream]:
+def first_upstreams(context: Context) -> list[LabUpstream]:
     """Return the upstreams of the first domain."""
     return deployment_of(context).in_domain('d0')
 
@@ -43,7 +43,7 @@
     upstreams: int,
     rate: int,
 ) -> None:
-    """Describe a deployment."""
+    """Configure a deployment that is built later."""
     world = PacketWorld(seed=context.seed)
     world.put_manifest(5, {ROUTE_PORT: 'ledger'})
     context.deployment = OutageDeployment(
@@ -55,36 +55,36 @@
     )
 
 
-@given('no node draws conclusions from missed openings')
-def blind(context: Context) -> None:
-    """Choose the control."""
+@given('nodes ignore missed openings')
+def ignore_missed_openings(context: Context) -> None:
+    """Select the control run without outage detection."""
     context.deployment.sees_outages = False
 
 
 @given('nodes tell each other nothing')
-def alone(context: Context) -> None:
-    """Leave each node with what it sees."""
+def disable_sharing(context: Context) -> None:
+    """Share no observations between nodes."""
     context.deployment.shares = False
 
 
 @when('all upstreams of the first domain die for {seconds:d} seconds')
-def die(context: Context, seconds: int) -> None:
-    """End them, and let time pass."""
-    deployment_of(context).fail(first(context))
+def fail_all(context: Context, seconds: int) -> None:
+    """Stop the processes, then advance the time."""
+    deployment_of(context).fail(first_upstreams(context))
     context.deployment.world.run(seconds)
 
 
 @when('half of the upstreams of the first domain die for {seconds:d} seconds')
-def half_die(context: Context, seconds: int) -> None:
-    """End every second one, and let time pass."""
-    context.resets = resets_elsewhere(context)
-    deployment_of(context).fail(first(context)[::2])
+def fail_half(context: Context, seconds: int) -> None:
+    """Stop every second process, then advance the time."""
+    context.resets = count_resets(context)
+    deployment_of(context).fail(first_upstreams(context)[::2])
     context.deployment.world.run(seconds)
 
 
-@when('they come back as other processes')
-def come_back(context: Context) -> None:
-    """Start them, and let time pass."""
+@when('they are started again as other processes')
+def restart_failed(context: Context) -> None:
+    """Start new processes, then advance the time."""
     context.deployment.come_back()
     context.deployment.world.run(4)
 
@@ -92,76 +92,76 @@
 @when(
     'all upstreams of the first domain refuse openings for {seconds:d} second'
 )
-def refuse(context: Context, seconds: int) -> None:
-    """Let them refuse, and go on as the same processes."""
-    die(context, seconds)
-    for upstream in first(context):
+def refuse_openings(context: Context, seconds: int) -> None:
+    """Refuse openings for a time, then continue with the same processes."""
+    fail_all(context, seconds)
+    for upstream in first_upstreams(context):
         upstream.condition = Condition.WELL
         upstream.running = 0
     context.deployment.world.run(5)
 
 
 @when(
-    'a node claims each {gap:f} s that all upstreams of its domain '
+    'a node reports each {gap:f} s that all upstreams of its domain '
     'missed an opening',
 )
-def lie(context: Context, gap: float) -> None:
-    """Let a node that follows tell lies for two seconds."""
+def send_false_reports(context: Context, gap: float) -> None:
+    """Send false reports from a follower for two seconds."""
     deployment = deployment_of(context)
-    liar = deployment.peers[1]
+    faulty = deployment.peers[1]
     deployment.failed_at = deployment.world.timeline.now
     for _ in range(round(2 / gap)):
         now = deployment.world.timeline.now
-        liar.claim(
+        faulty.claim(
             [
                 Observation(
-                    echo=one.tag & 0xFFFFFFFF,
+                    echo=upstream.tag & 0xFFFFFFFF,
                     answered=False,
                     at=now,
                     reporter=number,
                 )
-                for number, one in enumerate(first(context))
+                for number, upstream in enumerate(first_upstreams(context))
             ],
         )
         deployment.world.run(gap)
 
 
-@when('a node is cut off from all upstreams for {seconds:d} seconds')
-def cut_off(context: Context, seconds: int) -> None:
-    """Drop what a node that follows sends to upstreams."""
+@when('a node is partitioned from all upstreams for {seconds:d} seconds')
+def partition_node(context: Context, seconds: int) -> None:
+    """Drop the packets of a follower to all upstreams."""
     deployment = deployment_of(context)
-    context.cut = deployment.world.nodes[1]
-    for one in deployment.world.upstreams.values():
-        pair = frozenset((context.cut.address[0], one.address[0]))
+    context.partitioned = deployment.world.nodes[1]
+    for upstream in deployment.world.upstreams.values():
+        pair = frozenset((context.partitioned.address[0], upstream.address[0]))
         deployment.world.network.cuts.add(pair)
     deployment.world.run(seconds)
 
 
 @when('a twentieth of all openings is lost for {seconds:d} seconds')
 def lose_openings(context: Context, seconds: int) -> None:
-    """Drop one opening of twenty on its way to an upstream."""
+    """Drop one of twenty openings on the way to an upstream."""
     deployment = deployment_of(context)
     deployment.failed_at = deployment.world.timeline.now
     rng = deployment.world.rng
-    for one in deployment.world.upstreams.values():
-        whole = one.receive
+    for upstream in deployment.world.upstreams.values():
+        original = upstream.receive
 
         def receive(
             payload: bytes,
             source: tuple[str, int],
-            whole=whole,  # noqa: ANN001
+            original=original,  # noqa: ANN001
         ) -> None:
             packet = read_packet(payload[8:])
             if packet is None or not packet.is_syn or rng.random() > 1 / 20:
-                whole(payload, source)
+                original(payload, source)
 
-        deployment.world.network.receivers[one.address] = receive
+        deployment.world.network.receivers[upstream.address] = receive
     deployment.world.run(seconds)
 
 
 @when('the log lines are kept while all upstreams of the first domain die')
-def die_with_log(context: Context) -> None:
-    """Keep what the nodes write."""
+def fail_with_log(context: Context) -> None:
+    """Store the log lines of all nodes."""
     deployment_of(context)
     with tempfile.TemporaryFile() as kept:
         writer = LineWriter(node='all', descriptor=kept.fileno())
@@ -169,38 +169,41 @@
             mock.patch.object(early_lines, 'writer', writer),
             mock.patch(LINES_BOUND, 1_000_000),
         ):
-            die(context, 1)
+            fail_all(context, 1)
         kept.seek(0)
         context.lines = [json.loads(line) for line in kept]
 
 
 @then('of its calls from {since:f} s on at most {most:f} are never served')
 def check_served(context: Context, since: float, most: float) -> None:
-    """Count what callers got until two seconds after the failure."""
+    """Check the calls until two seconds after the failure."""
     context.deployment.settle()
     share = context.deployment.served('d0', since, 2.0).never_share
     assert share <= most, share
 
 
 @then('of its calls from {since:f} s on at least {least:f} are never served')
-def check_lost(context: Context, since: float, least: float) -> None:
-    """See the harm."""
+def check_control_loses(context: Context, since: float, least: float) -> None:
+    """Check that calls are lost in the control run."""
     context.deployment.settle()
     share = context.deployment.served('d0', since, 2.0).never_share
     assert share >= least, share
 
 
-@then('at least {least:f} of its flows from {since:f} s on are opened at home')
+@then(
+    'at least {least:f} of its flows from {since:f} s on '
+    'are opened in their own domain',
+)
 def check_home(context: Context, least: float, since: float) -> None:
-    """Compare the first domain's openings with its calls' new flows."""
+    """Check on which domain's upstreams new flows were opened."""
     deployment = context.deployment
     at = deployment.failed_at + since
-    home = {one.name for one in first(context)}
+    local_names = {member.name for member in first_upstreams(context)}
     opened: list[bool] = []
     for node in deployment.world.nodes:
         if node.domain == 'd0':
             opened.extend(
-                flow.upstream.record.name in home
+                flow.upstream.record.name in local_names
                 for key, flow in node.core.forwarder.flows.flows.items()
                 if context.deployment.opened_at(key) >= at
             )
@@ -210,19 +213,19 @@
 
 @then('no node suspects a domain')
 def check_no_suspicion(context: Context) -> None:
-    """Ask all nodes."""
-    check_no_other_suspects(context)
+    """Check all nodes."""
+    check_no_other_suspicion(context)
 
 
 @then('no other node suspects a domain')
-def check_no_other_suspects(context: Context) -> None:
-    """Ask all nodes but the one that is cut off."""
+def check_no_other_suspicion(context: Context) -> None:
+    """Check all nodes but the partitioned one."""
     world = context.deployment.world
-    cut = getattr(context, 'cut', None)
+    partitioned = getattr(context, 'partitioned', None)
     suspecting = [
         node.name
         for node in world.nodes
-        if node is not cut
+        if node is not partitioned
         and any(
             node.core.updater.placer.outages.suspected_domains(
                 world.timeline.now
@@ -232,8 +235,8 @@
     assert not suspecting, suspecting
 
 
-def resets_elsewhere(context: Context) -> int:
-    """Count the flows that nodes have ended."""
+def count_resets(context: Context) -> int:
+    """Count the flows that nodes have reset."""
     deployment = deployment_of(context)
     return sum(
         node.core.counts[reason.value]
@@ -249,13 +252,13 @@
 
 @then('no flow on another upstream was reset')
 def check_no_reset(context: Context) -> None:
-    """Compare the counts of resets; those of dead hosts aren't among them."""
-    assert resets_elsewhere(context) == context.resets
+    """Compare the counts of resets by nodes, without those of the hosts."""
+    assert count_resets(context) == context.resets
 
 
 @then('its nodes sent at most {most:d} bytes a second each on average')
 def check_bytes(context: Context, most: int) -> None:
-    """Count what the nodes of the first domain sent in two seconds."""
+    """Check the bytes that the first domain's nodes sent in two seconds."""
     sent = [
         peer.sent_bytes
         for peer in context.deployment.peers
@@ -264,18 +267,18 @@
     assert 0 < sum(sent) / len(sent) / 2 <= most, sum(sent)
 
 
-@then('no node of another domain sent any')
-def check_others_quiet(context: Context) -> None:
-    """Count what the rest sent."""
+@then('no node of another domain sent anything')
+def check_others_send_nothing(context: Context) -> None:
+    """Check that the nodes of other domains sent nothing."""
     for peer in context.deployment.peers:
         assert peer.node.domain == 'd0' or not peer.sent_bytes, peer.node.name
 
 
 @then(
-    'lines tell of missed openings, and of the suspected domain',
+    'log lines show missed openings and the suspected domain',
 )
 def check_lines(context: Context) -> None:
-    """Look for both."""
+    """Check the fields of both kinds of log lines."""
     missed = [
         line
         for line in context.lines
--- a/tests/steps/packets_reporters.py
+++ b/tests/steps/packets_reporters.py
@@ -1,4 +1,4 @@
-"""Steps in which nodes report what other nodes do not see."""
+"""Steps in which nodes share observations, some of them false."""
 
 import json
 import tempfile
@@ -7,7 +7,7 @@
 
 from behave import given, then, when
 from behave.runner import Context
-from packets_outages import deployment_of, first
+from packets_outages import deployment_of, first_upstreams
 
 from burdocksill.observe.early import early_lines
 from burdocksill.observe.writer import LineWriter
@@ -25,16 +25,16 @@
 DOMAIN = 'd0'
 STEP_SECONDS = 0.1
 AHEAD_SECONDS = 3600.0
-LIAR = 7
-# Nodes of the first domain; its reader reports rightly.
-WRONG = {
-    'a node that lies': 1,
-    'a node that is cut off': 2,
-    'a clock that is ahead': 3,
+FAULTY_REPORTER = 7
+# Positions of the faulty nodes in the first domain; its reader is correct.
+FAULTY_POSITIONS = {
+    'a node with false reports': 1,
+    'a partitioned node': 2,
+    'a node whose clock is ahead': 3,
 }
 
 
-def peers_at_home(context: Context) -> list[ObservationPeer]:
+def local_peers(context: Context) -> list[ObservationPeer]:
     """Return the nodes of the first domain, its reader first."""
     return [
         peer
@@ -43,34 +43,34 @@
     ]
 
 
-def wrong_peer(context: Context, wrong: str) -> ObservationPeer:
-    """Return the node that reports wrongly in one way."""
-    peers = peers_at_home(context)
-    return peers[min(WRONG[wrong], len(peers) - 1)]
+def faulty_peer(context: Context, fault: str) -> ObservationPeer:
+    """Return the node with one kind of fault."""
+    peers = local_peers(context)
+    return peers[min(FAULTY_POSITIONS[fault], len(peers) - 1)]
 
 
-def claim(liar: ObservationPeer, context: Context) -> None:
-    """Let a node report that three upstreams missed an opening."""
-    now = liar.exchange.clock()
-    liar.claim(
+def send_false_reports(peer: ObservationPeer, context: Context) -> None:
+    """Send false reports about three upstreams."""
+    now = peer.exchange.clock()
+    peer.claim(
         [
             Observation(
                 echo=one.tag & 0xFFFFFFFF, answered=False, at=now, reporter=1
             )
-            for one in first(context)[:3]
+            for one in first_upstreams(context)[:3]
         ],
     )
 
 
-def cut_off(peer: ObservationPeer, deployment: OutageDeployment) -> None:
-    """Drop what a node sends to upstreams."""
+def partition_peer(peer: ObservationPeer, deployment: OutageDeployment) -> None:
+    """Drop the packets of a node to all upstreams."""
     for one in deployment.world.upstreams.values():
         pair = frozenset((peer.node.address[0], one.address[0]))
         deployment.world.network.cuts.add(pair)
 
 
-def put_ahead(peer: ObservationPeer) -> None:
-    """Move a node's steady clock."""
+def set_clock_ahead(peer: ObservationPeer) -> None:
+    """Set a node's monotonic clock ahead."""
     node = peer.node
     ahead = AheadTimeline(
         timeline=node.timeline,
@@ -82,83 +82,89 @@
 
 
 @when(
-    'for {seconds:d} seconds one of {many:d} packets is lost, beside {wrongs}',
+    'for {seconds:d} seconds one of {many:d} packets is lost, with {faults}',
 )
-def report_wrongly(
+def run_with_faults(
     context: Context,
     seconds: int,
     many: int,
-    wrongs: str,
+    faults: str,
 ) -> None:
-    """Play loss and wrong reports, and look at all other nodes."""
+    """Run with loss and faulty nodes, and sample the suspicions of others."""
     deployment = deployment_of(context)
     world = deployment.world
-    context.wrong = {
-        wrong: wrong_peer(context, wrong) for wrong in wrongs.split(', ')
+    context.faulty = {
+        fault: faulty_peer(context, fault) for fault in faults.split(', ')
     }
-    if 'a node that is cut off' in context.wrong:
-        cut_off(context.wrong['a node that is cut off'], deployment)
-    if 'a clock that is ahead' in context.wrong:
-        put_ahead(context.wrong['a clock that is ahead'])
+    if 'a partitioned node' in context.faulty:
+        partition_peer(context.faulty['a partitioned node'], deployment)
+    if 'a node whose clock is ahead' in context.faulty:
+        set_clock_ahead(context.faulty['a node whose clock is ahead'])
     world.network.loses = lambda: world.rng.random() < 1 / many
-    note_openings(context)
-    context.looks = []
+    record_openings(context)
+    context.samples = []
     for step in range(round(seconds / STEP_SECONDS)):
-        if 'a node that lies' in context.wrong and step % 10 == 0:
-            claim(context.wrong['a node that lies'], context)
+        if 'a node with false reports' in context.faulty and step % 10 == 0:
+            send_false_reports(
+                context.faulty['a node with false reports'],
+                context,
+            )
         world.run(STEP_SECONDS)
-        context.looks.extend(
+        context.samples.extend(
             any(outages_of(peer).suspected_domains(world.timeline.now))
-            for peer in honest(context)
+            for peer in correct_peers(context)
         )
 
 
-def note_openings(context: Context) -> None:
-    """Open a flow for each call, and keep the domain that it reaches."""
+def record_openings(context: Context) -> None:
+    """Open a flow for each call, and record the domain of its upstream."""
     deployment = deployment_of(context)
     for one in deployment.callers:
         one.most_idle = 0
     home = parse_ipv4(f'100.65.{sum(DOMAIN.encode()) % ADDRESSES}.0')
     context.opened = []
 
-    def note(upstream: LabUpstream, packet: Packet) -> None:
+    def record(upstream: LabUpstream, packet: Packet) -> None:
         if packet.client >> 8 == home >> 8:
             context.opened.append(upstream.domain)
 
     for upstream in deployment.world.upstreams.values():
-        upstream.on_open = note
+        upstream.on_open = record
 
 
 def outages_of(peer: ObservationPeer) -> DomainOutageDetector:
-    """Return what a node concludes from missed openings."""
+    """Return the outage detector of a node."""
     return peer.node.core.updater.placer.outages
 
 
-def honest(context: Context) -> list[ObservationPeer]:
-    """Return the nodes of the first domain that report rightly."""
-    wrong = [id(peer) for peer in context.wrong.values()]
-    return [peer for peer in peers_at_home(context) if id(peer) not in wrong]
+def correct_peers(context: Context) -> list[ObservationPeer]:
+    """Return the nodes of the first domain without a fault."""
+    faulty = [id(peer) for peer in context.faulty.values()]
+    return [peer for peer in local_peers(context) if id(peer) not in faulty]
 
 
 @then('no other node suspects a domain for more than {most:f} of the time')
-def check_looks(context: Context, most: float) -> None:
-    """Compare the looks that met a suspicion with all."""
-    assert context.looks
-    share = sum(context.looks) / len(context.looks)
+def check_suspicions(context: Context, most: float) -> None:
+    """Check the share of the samples with a suspicion."""
+    assert context.samples
+    share = sum(context.samples) / len(context.samples)
     assert share <= most, share
 
 
-@then('at least {least:f} of the flows of its callers are opened at home')
+@then(
+    'at least {least:f} of the flows of its callers '
+    'are opened in their own domain',
+)
 def check_home(context: Context, least: float) -> None:
-    """Count where callers of the first domain were taken."""
+    """Check the domains of the upstreams that flows were opened on."""
     assert context.opened
     share = context.opened.count(DOMAIN) / len(context.opened)
     assert share >= least, share
 
 
-@given('the signs of {count:d} upstreams of a domain that all answer')
-def make_signs(context: Context, count: int) -> None:
-    """Prepare a node's view of a domain, without a network."""
+@given('observations of {count:d} upstreams of a domain that all answer')
+def make_detector(context: Context, count: int) -> None:
+    """Create an outage detector and the upstreams of a domain."""
     upstreams = UpstreamRegistry()
     for number in range(1, count + 1):
         upstreams.register(
@@ -187,7 +193,7 @@
 
 
 def report(context: Context, known: KnownUpstream, reporter: int) -> None:
-    """Tell this node that another one missed an opening."""
+    """Merge another node's observation of a missed opening."""
     context.outages.merge(
         Observation(
             echo=known.echo,
@@ -201,20 +207,20 @@
 
 @when('a node reports that {count:d} of them missed an opening')
 def report_some(context: Context, count: int) -> None:
-    """Let one node speak of some upstreams."""
+    """Report missed openings of some upstreams by one node."""
     for known in context.known[:count]:
-        report(context, known, LIAR)
+        report(context, known, FAULTY_REPORTER)
 
 
 @when('this node misses an opening of a fourth')
 def miss_fourth(context: Context) -> None:
-    """Miss an opening of another upstream."""
+    """Record a missed opening of another upstream."""
     context.outages.record_missed(context.known[3], context.now)
 
 
 @when('this node misses openings of {count:d} of them')
 def miss_some(context: Context, count: int) -> None:
-    """Miss openings."""
+    """Record missed openings of this node."""
     for known in context.known[:count]:
         context.outages.record_missed(known, context.now)
 
@@ -223,24 +229,28 @@
     'all answer each {gap:f} s while a node reports a missed opening '
     'each second, for {seconds:d} s',
 )
-def answer_beside_lies(context: Context, gap: float, seconds: int) -> None:
-    """Let all upstreams answer, and one node lie."""
-    context.looks = []
+def answer_with_false_reports(
+    context: Context,
+    gap: float,
+    seconds: int,
+) -> None:
+    """Record answers of all upstreams and false reports of one node."""
+    context.samples = []
     for step in range(round(seconds / gap)):
         context.now += gap
         if step % round(1 / gap) == 0:
-            report(context, context.known[0], LIAR)
+            report(context, context.known[0], FAULTY_REPORTER)
         for known in context.known:
             known.health.record_answer(context.now)
             context.outages.record_answered(known, context.now)
-        context.looks.append(
+        context.samples.append(
             context.outages.is_domain_suspected(DOMAIN, context.now)
         )
 
 
-@when('nothing more is heard for {seconds:d} s')
+@when('nothing more is observed for {seconds:d} s')
 def wait(context: Context, seconds: int) -> None:
-    """Let time pass, with the node's upkeep each second."""
+    """Advance the time, with the periodic expiry each second."""
     for _ in range(seconds):
         context.now += 1
         context.outages.expire_suspicions(context.now)
@@ -248,27 +258,27 @@
 
 @then('the domain is suspected')
 def check_suspected(context: Context) -> None:
-    """Ask the node."""
+    """Check the detector of this node."""
     assert context.outages.is_domain_suspected(DOMAIN, context.now)
 
 
 @then('the domain is not suspected')
 def check_trusted(context: Context) -> None:
-    """Ask the node."""
+    """Check the detector of this node."""
     assert not context.outages.is_domain_suspected(DOMAIN, context.now)
 
 
 @then('the domain is suspected in at most {most:d} of {steps:d} steps')
 def check_steps(context: Context, most: int, steps: int) -> None:
-    """Count the steps."""
-    assert len(context.looks) == steps, len(context.looks)
-    assert sum(context.looks) <= most, sum(context.looks)
+    """Check the number of steps with a suspicion."""
+    assert len(context.samples) == steps, len(context.samples)
+    assert sum(context.samples) <= most, sum(context.samples)
 
 
-@then('lines tell that it was suspected and that it is trusted again')
-def check_told(context: Context) -> None:
-    """Look for both lines, in their order."""
+@then('log lines show that it was suspected and is trusted again')
+def check_messages(context: Context) -> None:
+    """Check for both log lines, in this order."""
     context.kept.seek(0)
     lines = [json.loads(line) for line in context.kept]
-    told = [line['message'] for line in lines if line['domain'] == DOMAIN]
-    assert told == ['domain suspected', 'domain trusted'], told
+    messages = [line['message'] for line in lines if line['domain'] == DOMAIN]
+    assert messages == ['domain suspected', 'domain trusted'], messages
