--- a/tests/steps/packets_admission.py
+++ b/tests/steps/packets_admission.py
@@ -1,4 +1,4 @@
-"""Steps that load a deployment and count what callers got."""
+"""Steps that put load on a deployment and check the results of calls."""
 
 import json
 import tempfile
@@ -25,8 +25,8 @@
 LINES_BOUND = 'burdocksill.observe.writer.LINES_PER_SECOND'
 
 
-def make(context: Context, *, admission: bool) -> LoadedDeployment:
-    """Build a deployment from the scenario's seed."""
+def make_deployment(context: Context, *, admission: bool) -> LoadedDeployment:
+    """Build a deployment with the scenario's seed."""
     deployment = LoadedDeployment(
         world=PacketWorld(seed=context.seed),
         admission=admission,
@@ -37,26 +37,26 @@
 
 @given('a deployment under load with admission')
 def with_admission(context: Context) -> None:
-    """Build what the product is."""
-    context.deployment = make(context, admission=True)
+    """Build the deployment under test."""
+    context.deployment = make_deployment(context, admission=True)
 
 
 @given('a deployment under load with no admission')
 def without_admission(context: Context) -> None:
-    """Build the control."""
-    context.deployment = make(context, admission=False)
+    """Build the control deployment."""
+    context.deployment = make_deployment(context, admission=False)
 
 
 @given('one upstream works {factor:d} times as long')
-def slow_one(context: Context, factor: int) -> None:
-    """Slow one upstream down."""
+def slow_down_one(context: Context, factor: int) -> None:
+    """Increase the service time of one upstream."""
     upstreams = list(context.deployment.world.upstreams.values())
     upstreams[0].work_seconds *= factor
 
 
 @given('all upstreams work {factor:d} times as long')
-def slow_all(context: Context, factor: int) -> None:
-    """Slow all upstreams down."""
+def slow_down_all(context: Context, factor: int) -> None:
+    """Increase the service time of all upstreams."""
     for upstream in context.deployment.world.upstreams.values():
         upstream.work_seconds *= factor
 
@@ -65,15 +65,15 @@
     'calls come at {calm:f} of its capacity, '
     'and at {burst:f} for {seconds:d} seconds',
 )
-def play(context: Context, calm: float, burst: float, seconds: int) -> None:
-    """Play the load."""
+def run_load(context: Context, calm: float, burst: float, seconds: int) -> None:
+    """Run the load."""
     context.load = (calm, burst, float(seconds))
     context.deployment.play(*context.load)
 
 
 @then('at least {least:f} and at most {most:f} of the offers are in time')
 def check_offers(context: Context, least: float, most: float) -> None:
-    """Count the urgent calls of the burst."""
+    """Check the urgent calls of the burst."""
     share = context.deployment.in_burst(OFFER_PORT).in_time_share
     assert least <= share <= most, share
 
@@ -86,22 +86,22 @@
 
 
 @then('upstreams refused less than {most:f} of the tries')
-def check_few_refusals(context: Context, most: float) -> None:
-    """Count what full upstreams refused."""
+def check_low_refusals(context: Context, most: float) -> None:
+    """Check the share of tries that full upstreams refused."""
     share = upstream_refusals(context.deployment)
     assert share < most, share
 
 
 @then('upstreams refused more than {least:f} of the tries')
-def check_many_refusals(context: Context, least: float) -> None:
-    """See the harm without admission."""
+def check_high_refusals(context: Context, least: float) -> None:
+    """Check that full upstreams refuse many tries in the control."""
     share = upstream_refusals(context.deployment)
     assert share > least, share
 
 
 @then('no call ran that was not served')
 def check_not_run(context: Context) -> None:
-    """Compare what ran with what callers got."""
+    """Compare the requests that ran with the calls that were served."""
     ran = sum(one.ran for one in context.deployment.world.upstreams.values())
     served = sum(
         call.served_at is not None
@@ -113,17 +113,17 @@
 
 @then('more feeds are in time than with no admission')
 def check_feeds(context: Context) -> None:
-    """Play the control and compare."""
-    control = make(context, admission=False)
+    """Run the control deployment and compare."""
+    control = make_deployment(context, admission=False)
     control.play(*context.load)
-    without = control.in_burst(FEED_PORT).in_time_share
+    control_share = control.in_burst(FEED_PORT).in_time_share
     share = context.deployment.in_burst(FEED_PORT).in_time_share
-    assert share > without, (share, without)
+    assert share > control_share, (share, control_share)
 
 
 @then('each domain has at least half of the mean of feeds in time')
 def check_domains(context: Context) -> None:
-    """Look for a domain that is starved."""
+    """Check that no domain is starved."""
     deployment = context.deployment
     mean = deployment.in_burst(FEED_PORT).in_time_share
     for number in range(deployment.domains):
@@ -133,33 +133,33 @@
 
 @then('no try was ended by a node')
 def check_none_refused(context: Context) -> None:
-    """Count refusals over the whole play."""
+    """Check that nodes refused nothing during the whole run."""
     refused = context.deployment.refused_in(0, float('inf'))
     assert refused == 0, refused
 
 
 @then(
     'in each half second between {least:f} and {most:f} '
-    'of the calls met a refusal',
+    'of the calls had a refused try',
 )
 def check_steady(context: Context, least: float, most: float) -> None:
-    """Look at the refusals over time, from a second after the burst began."""
+    """Check the refusals over time, from a second after the burst began."""
     shares = context.deployment.refused_shares()
     assert all(least <= share <= most for share in shares), shares
 
 
 @then('from {after:f} seconds after the burst on no try is ended by a node')
-def check_forgotten(context: Context, after: float) -> None:
-    """Count refusals after the burst."""
+def check_no_later_refusals(context: Context, after: float) -> None:
+    """Check for refusals after the burst."""
     deployment = context.deployment
     begin = CALM_SECONDS + deployment.burst_seconds + after
     refused = deployment.refused_in(begin, float('inf'))
     assert refused == 0, refused
 
 
-@then('at most {most:f} of the calls met a refusal')
-def check_few_refused(context: Context, most: float) -> None:
-    """Count the calls that a node refused a try of."""
+@then('at most {most:f} of the calls had a refused try')
+def check_refused_share(context: Context, most: float) -> None:
+    """Check the share of calls with a try that a node refused."""
     calls = context.deployment.calls(0, float('inf'))
     share = sum(call.ended_by_node > 0 for call in calls) / len(calls)
     assert share <= most, share
@@ -167,28 +167,28 @@
 
 @then('at least {least:f} of the calls are served')
 def check_served(context: Context, least: float) -> None:
-    """Count the calls that were served, late or not."""
+    """Check the share of calls that were served, late or in time."""
     calls = context.deployment.calls(0, float('inf'))
     share = 1 - count_served(calls, float('inf')).never_share
     assert share >= least, share
 
 
-@given('a node that sees all upstreams full but one that it put aside')
+@given('a node for which one upstream is ejected and all others are full')
 def fill_all_but_one(context: Context) -> None:
-    """Let a node see much in progress, and one upstream silent."""
+    """Eject one upstream and fill the slots of the others."""
     context.core = context.deployment.world.nodes[0].core
     now = context.deployment.world.timeline.now
-    known = list(context.core.updater.upstreams.by_name.values())
-    known[0].health.eject(now)
-    for one in known[1:]:
+    candidates = list(context.core.updater.upstreams.by_name.values())
+    candidates[0].health.eject(now)
+    for one in candidates[1:]:
         for _ in range(one.record.slots):
             one.begin_request()
-    known[0].limiter.limit = 0.9
+    candidates[0].limiter.limit = 0.9
 
 
-@then('an opening there is refused for load')
+@then('an opening on that node is refused for load')
 def check_overloaded(context: Context) -> None:
-    """Ask for a place."""
+    """Place a new flow."""
     world = context.deployment.world
     route = next(
         one
@@ -201,12 +201,12 @@
 
 
 @when('its log lines are kept while calls come at {burst:f} of its capacity')
-def play_logged(context: Context, burst: float) -> None:
-    """Play a burst with the lines of all nodes in one file."""
+def run_logged(context: Context, burst: float) -> None:
+    """Run a burst with the log lines of all nodes in one file."""
     with tempfile.TemporaryFile() as kept:
         writer = LineWriter(node='all', descriptor=kept.fileno())
         early_lines.writer = writer
-        # The play takes less real time than virtual; no line may be left out.
+        # The run takes less real than virtual time; no line may be dropped.
         try:
             with mock.patch(LINES_BOUND, 1_000_000):
                 context.deployment.play(0.5, burst, 2.0)
@@ -218,10 +218,10 @@
 
 @then('each refused opening has a line with priority, objective and load')
 def check_lines(context: Context) -> None:
-    """Compare the lines with what callers met."""
+    """Compare the log lines with the refusals of callers."""
     lines = [one for one in context.lines if one['message'] == 'overloaded']
-    met = context.deployment.refused_in(0, float('inf'))
-    assert 0 < len(lines) == met, (len(lines), met)
+    refused = context.deployment.refused_in(0, float('inf'))
+    assert 0 < len(lines) == refused, (len(lines), refused)
     for line in lines:
         assert line['priority'] in {1, 2}, line
         assert line['objective_s'] in {0.25, 0.3}, line
@@ -232,7 +232,7 @@
 
 @then('the metrics of the nodes count the same refusals by priority')
 def check_counts(context: Context) -> None:
-    """Add up the counters of all nodes."""
+    """Compare the sum of all nodes' counters with the refusals."""
     world = context.deployment.world
     pages = [
         MetricsPage(
@@ -253,6 +253,6 @@
         for line in page.splitlines()
         if line.startswith('burdocksill_refused_for_load_total{priority=')
     )
-    met = context.deployment.refused_in(0, float('inf'))
-    assert counted == met, (counted, met)
+    refused = context.deployment.refused_in(0, float('inf'))
+    assert counted == refused, (counted, refused)
     assert all('waiting_limit_per_slot{service="ledger"}' in p for p in pages)
