--- a/tests/steps/packets_isolation.py
+++ b/tests/steps/packets_isolation.py
@@ -1,4 +1,4 @@
-"""Steps about a domain that is taken out and cut off."""
+"""Steps in which a domain is out of service and partitioned."""
 
 from behave import given, then, when
 from behave.runner import Context
@@ -9,30 +9,30 @@
 from burdocksill_lab.packets.store import Trouble
 
 MUTED = 'muted'
-# Openings that are under way when a domain is taken out.
-UNDER_WAY_SECONDS = 0.1
+# Time for openings in transit when a domain is taken out of service.
+TRANSIT_SECONDS = 0.1
 
 
-@given('the first domain is taken out')
+@given('the first domain is taken out of service')
 def take_out(context: Context) -> None:
-    """Take it out after the calm, and let its new flows leave it."""
-    # Open flows are carried on; what is looked at is where new ones go.
+    """Take it out of service after the start, and wait for openings."""
+    # Open flows are kept; only the placement of new ones is checked.
     context.deployment.kept_flows = 0
-    deployment = built(context)
+    deployment = deployment_of(context)
     deployment.world.take_out('d0')
-    deployment.world.run(UNDER_WAY_SECONDS)
+    deployment.world.run(TRANSIT_SECONDS)
 
 
-def built(context: Context) -> OutageDeployment:
-    """Return the deployment, built when it is first asked for."""
+def deployment_of(context: Context) -> OutageDeployment:
+    """Return the deployment, built on the first call."""
     deployment: OutageDeployment = context.deployment
     if not deployment.callers:
         deployment.build()
     return deployment
 
 
-def opened_at_home(context: Context, since: float) -> int:
-    """Count the openings that the first domain's upstreams got."""
+def opened_in_first_domain(context: Context, since: float) -> int:
+    """Count the openings on the first domain's upstreams since a time."""
     return sum(
         at >= since
         for upstream in context.deployment.in_domain('d0')
@@ -40,71 +40,76 @@
     )
 
 
-@when('it is cut off from all other domains for {seconds:d} seconds')
-def cut_off(context: Context, seconds: int) -> None:
-    """Cut it off, and let time pass."""
-    deployment = built(context)
+@when('it is partitioned from all other domains for {seconds:d} seconds')
+def partition(context: Context, seconds: int) -> None:
+    """Partition it, then advance the time."""
+    deployment = deployment_of(context)
     deployment.cut('d0')
     deployment.world.run(seconds)
 
 
 @when(
-    'it is cut off from all other domains and from the store '
+    'it is partitioned from all other domains and from the store '
     'for {seconds:d} seconds',
 )
-def cut_off_whole(context: Context, seconds: int) -> None:
-    """Let the store be behind the cut too."""
-    built(context).store_answers = False
-    cut_off(context, seconds)
+def partition_with_store(context: Context, seconds: int) -> None:
+    """Partition it from the store, too."""
+    deployment_of(context).store_answers = False
+    partition(context, seconds)
 
 
 @when('the store answers nobody for {seconds:d} seconds')
-def lose_store(context: Context, seconds: int) -> None:
-    """Take the store away alone."""
-    deployment = built(context)
+def stop_store(context: Context, seconds: int) -> None:
+    """Make only the store unavailable."""
+    deployment = deployment_of(context)
     deployment.failed_at = deployment.world.timeline.now
     deployment.store_answers = False
     deployment.world.run(seconds)
 
 
-@when('the cut ends')
+@when('the partition ends')
 def heal(context: Context) -> None:
-    """Let everything be reached again, and time pass."""
+    """End the partition, then advance the time."""
     deployment = context.deployment
     deployment.world.network.cuts.clear()
     deployment.store_answers = True
-    context.healed_at = deployment.world.timeline.now
+    context.partition_ended_at = deployment.world.timeline.now
     deployment.world.run(6)
 
 
-@then('its nodes opened flows at home')
-def check_home(context: Context) -> None:
-    """Look at what its upstreams got."""
-    assert opened_at_home(context, context.deployment.failed_at)
+@then('flows were opened in the first domain')
+def check_opened(context: Context) -> None:
+    """Check that its upstreams got openings."""
+    assert opened_in_first_domain(context, context.deployment.failed_at)
 
 
-@then('no node opened a flow at home')
-def check_not_home(context: Context) -> None:
-    """Look at what its upstreams got since the trouble began."""
-    assert not opened_at_home(context, context.deployment.failed_at)
+@then('no flow was opened in the first domain')
+def check_not_opened(context: Context) -> None:
+    """Check that its upstreams got no opening since the fault."""
+    assert not opened_in_first_domain(context, context.deployment.failed_at)
 
 
-@then('from {seconds:f} s after its end no node opened a flow at home')
-def check_left(context: Context, seconds: float) -> None:
-    """Look at the time after the cut."""
-    assert opened_at_home(context, context.deployment.failed_at)
-    assert not opened_at_home(context, context.healed_at + seconds)
+@then(
+    'from {seconds:f} s after its end no flow was opened in the first domain',
+)
+def check_not_opened_after(context: Context, seconds: float) -> None:
+    """Check the openings during and after the partition."""
+    assert opened_in_first_domain(context, context.deployment.failed_at)
+    assert not opened_in_first_domain(
+        context,
+        context.partition_ended_at + seconds,
+    )
 
 
-@when('a node asks a store in trouble "{trouble}" whether it can be reached')
-def ask_store(context: Context, trouble: str) -> None:
-    """Let the product's own probe ask."""
+@when('a node probes a store with fault "{fault}"')
+def probe_store(context: Context, fault: str) -> None:
+    """Run the store probe of a node."""
 
     async def step(fleet: SharedFleet) -> None:
-        if trouble == MUTED:
+        if fault == MUTED:
             fleet.store.muted = fleet.store.connections
         else:
-            fleet.store.trouble = Trouble(trouble)
+            fleet.store.trouble = Trouble(fault)
         sharing = fleet.nodes[0].store_sync.sharing
         assert sharing is not None
         context.silent = await sharing.probe.is_silent()
@@ -112,11 +117,11 @@
     act(context, step)
 
 
-@then('it is found to be {found}')
-def check_found(context: Context, found: str) -> None:
-    """Compare."""
+@then('the probe finds it to be {found}')
+def check_probe(context: Context, found: str) -> None:
+    """Check the result of the probe."""
 
     async def step(_: SharedFleet) -> None:
-        assert context.silent == (found == 'out of reach'), context.silent
+        assert context.silent == (found == 'unreachable'), context.silent
 
     check(context, step)
