--- a/tests/packets/admission.feature
+++ b/tests/packets/admission.feature
@@ -33,8 +33,8 @@
     Then no try was ended by a node
 
   Scenario: Refusals are steady under constant overload
-    # Guards against a limit that oscillates: if it falls too far, slots are idle,
-    # and if it then rises too fast, the queues fill again.
+    # Guards against a limit that oscillates: if it falls too far, slots are
+    # idle, and if it then rises too fast, the queues fill again.
     Given a deployment under load with admission
     When calls come at 0.5 of its capacity, and at 1.5 for 8 seconds
     Then in each half second between 0.15 and 0.9 of the calls had a refused try
@@ -70,7 +70,8 @@
 
   Scenario: An ejected upstream is no substitute for full ones
     # An unresponsive upstream looks the least loaded, and the healthy ones are
-    # full. A flow on the unresponsive one would wait until its client's deadline.
+    # full. A flow on the unresponsive one would wait until its client's
+    # deadline.
     Given a deployment under load with admission
     And a node for which one upstream is ejected and all others are full
     Then an opening on that node is refused for load
--- a/tests/packets/isolation.feature
+++ b/tests/packets/isolation.feature
@@ -11,8 +11,8 @@
     And flows were opened in the first domain
 
   Scenario: While the store answers the domain stays out of service
-    Guards against other faults that are taken for a partition. The control of the
-    scenario above.
+    Guards against other faults that are taken for a partition. The control of
+    the scenario above.
     Given 5 domains of 16 nodes and 14 upstreams, with 100 calls a second each
     And the first domain is taken out of service
     When it is partitioned from all other domains for 5 seconds
@@ -20,7 +20,8 @@
     And of its calls from 1.5 s on at least 0.5 are never served
 
   Scenario: While another domain answers the domain stays out of service
-    Guards against flows to a domain out of service because only the store fails.
+    Guards against flows to a domain out of service because only the store
+    fails.
     Given 5 domains of 16 nodes and 14 upstreams, with 100 calls a second each
     And the first domain is taken out of service
     When the store answers nobody for 5 seconds
--- a/tests/packets/outages.feature
+++ b/tests/packets/outages.feature
@@ -44,7 +44,8 @@
     Then at least 0.9 of its flows from 4.0 s on are opened in their own domain
 
   Scenario: A domain whose processes were only unreachable gets its flows again
-    Guards against a suspicion that is not ended by answers of the same processes.
+    Guards against a suspicion that is not ended by answers of the same
+    processes.
     Given 5 domains of 39 nodes and 24 upstreams, with 200 calls a second each
     When all upstreams of the first domain refuse openings for 1 second
     Then at least 0.9 of its flows from 4.0 s on are opened in their own domain
