--- a/tests/packets/power.feature
+++ b/tests/packets/power.feature
@@ -1,11 +1,12 @@
-Feature: A failure domain that loses power
-  Its nodes and its upstreams are gone at once. Clients' open flows name upstreams
-  that have ended, and reach nodes of other domains, then nodes that just started.
+Feature: A failure domain loses power
+  Its nodes and upstreams fail at the same time. Packets of clients' open flows
+  name failed upstreams, and reach nodes of other domains, and later nodes that
+  have just started.
 
-  Scenario Outline: Calls on flows of a domain without power are answered elsewhere
-    Guards against clients that wait for upstreams whose entries have vanished.
+  Scenario Outline: Calls of a domain without power are served in other domains
+    Guards against clients that wait for upstreams whose entries have expired.
     Given <domains> domains of <nodes> nodes and <upstreams> upstreams, with <rate> calls a second each
-    And callers that use <flows> open flows alike
+    And callers that use <flows> open flows at random
     When the first domain loses power for 5 seconds
     Then of its calls from 0.0 s to 2.0 s at most 0.15 are never served
     And of its calls from 2.0 s to 5.0 s at most 0.02 are never served
@@ -19,25 +20,25 @@
       | 3       | 23    | 33        | 200  | 600   |
       | 3       | 100   | 60        | 300  | 900   |
 
-  Scenario: Without a look at vanished entries calls wait for their deadline
+  Scenario: Without detection of expired entries calls wait for their deadline
     The control of the scenario above, for the time without power.
     Given 3 domains of 23 nodes and 33 upstreams, with 200 calls a second each
-    And callers that use 600 open flows alike
-    And entries that vanish are waited for as if the store had lost them
+    And callers that use 600 open flows at random
+    And removed entries are treated as if the store had lost them
     When the first domain loses power for 5 seconds
     Then of its calls from 2.0 s to 5.0 s at least 0.1 are late or never served
     And of its calls from 0.0 s on at least 0.2 are never served
 
-  Scenario: Without a reader's word nodes that start wait before they end flows
-    The control of the scenario above, for the time after it.
+  Scenario: Without a reader's report started nodes wait before they reset flows
+    The control of the scenario above, for the time after the power loss.
     Given 3 domains of 23 nodes and 33 upstreams, with 200 calls a second each
-    And callers that use 600 open flows alike
-    And nodes that start hear nothing of readers
+    And callers that use 600 open flows at random
+    And started nodes receive no report of readers
     When the first domain loses power for 5 seconds
     Then of its calls from 5.0 s to 7.0 s at least 0.04 are late or never served
 
-  Scenario: Flows on an upstream are ended as soon as another runs in its place
-    Guards against an idle flow whose next request goes to a process that ended.
+  Scenario: Flows are reset as soon as another process replaces their upstream
+    Guards against an idle flow whose next request goes to a replaced process.
     Given a domain "a" with 1 node and 2 upstreams
     And 8 open flows in "a"
     When an upstream crashes and another process registers at its address
@@ -45,8 +46,8 @@
     And 0.1 seconds pass
     Then all flows on it were ended by a node
 
-  Scenario: Two entries of one address that are read at once end nothing
-    Guards against an order of starts that is taken from clocks of two machines.
+  Scenario: Two entries of one address that are read together reset no flow
+    Guards against an order of starts that is based on the clocks of two hosts.
     Given a domain "a" with 1 node and 2 upstreams
     And 8 open flows in "a"
     When another entry of an upstream's address is read together with its own
@@ -54,8 +55,9 @@
     And 0.5 seconds pass
     Then no flow was ended by a node
 
-  Scenario: A living upstream whose entry vanished keeps its flows
-    Guards against an upstream that can't reach the store, but its clients.
+  Scenario: A living upstream whose entry was removed keeps its flows
+    Guards against resets when an upstream reaches its clients but not the
+    store.
     Given a domain "a" with 1 node and 1 upstream that works 0.3 seconds
     And 6 open flows in "a"
     When 5 seconds pass
@@ -64,12 +66,12 @@
     Then every request is served
     And no flow was ended by a node
 
-  Scenario: A living upstream whose entry vanished keeps its flows in a queue
-    Guards against a store that writes late while answers take longer than before.
+  Scenario: A living upstream whose entry was removed keeps its queued flows
+    Guards against resets when the store is late and answers take longer.
     Given a domain "a" with 1 node and 4 upstreams
     And the route's callers want answers within 0.6 seconds
     And 8 open flows in "a" whose clients wait 3 seconds
-    When all upstreams come to work 0.3 seconds
+    When the service time of all upstreams becomes 0.3 seconds
     And every flow sends a request, every 1.0 seconds for 4.0 seconds
     And its entry is removed for one upstream
     And every flow sends a request
--- a/tests/steps/packets_power.py
+++ b/tests/steps/packets_power.py
@@ -20,9 +20,9 @@
 DEADLINE_SECONDS = 3.0
 
 
-@given('callers that use {count:d} open flows alike')
+@given('callers that use {count:d} open flows at random')
 def keep_flows(context: Context, count: int) -> None:
-    """Let callers hold flows that they use rarely."""
+    """Configure callers that keep flows and use each of them rarely."""
     deployment = context.deployment
     deployment.kept_flows = count
     deployment.alike = True
@@ -33,9 +33,9 @@
     )
 
 
-@given('entries that vanish are waited for as if the store had lost them')
-def wait_for_entries(context: Context) -> None:
-    """Choose the control for the time without power."""
+@given('removed entries are treated as if the store had lost them')
+def treat_entries_as_lost(context: Context) -> None:
+    """Select the control run for the time without power."""
     patch = mock.patch.object(
         UpstreamRegistry, 'stopped_renewing', return_value=False
     )
@@ -43,15 +43,15 @@
     context.add_cleanup(patch.stop)
 
 
-@given('nodes that start hear nothing of readers')
-def hear_nothing(context: Context) -> None:
-    """Choose the control for the time after it."""
+@given('started nodes receive no report of readers')
+def disable_reports(context: Context) -> None:
+    """Select the control run for the time after the power loss."""
     context.hears_readers = False
 
 
 @when('the first domain loses power for {seconds:d} seconds')
 def lose_power(context: Context, seconds: int) -> None:
-    """Take the power away, give it back, and let callers end."""
+    """Stop the domain, start it again, and wait for the end of all calls."""
     deployment = deployment_of(context)
     for one in deployment.callers:
         one.deadline_seconds = DEADLINE_SECONDS
@@ -70,7 +70,7 @@
 
 
 def served(context: Context, begin: float, end: float) -> Served:
-    """Return what callers of the domain got."""
+    """Return the results of the domain's calls."""
     counted: Served = context.deployment.served(DOMAIN, begin, end)
     assert counted.asked
     return counted
@@ -80,13 +80,13 @@
     'of its calls from {begin:f} s to {end:f} s '
     'at most {most:f} are never served',
 )
-def check_never(
+def check_never_served(
     context: Context,
     begin: float,
     end: float,
     most: float,
 ) -> None:
-    """Count the calls that nobody answered."""
+    """Check the share of calls that were never served."""
     share = served(context, begin, end).never_share
     assert share <= most, share
 
@@ -98,7 +98,7 @@
     end: float,
     most: float,
 ) -> None:
-    """Count the calls that were answered late."""
+    """Check the share of calls that were served late."""
     counted = served(context, begin, end)
     share = counted.late / counted.asked
     assert share <= most, share
@@ -108,19 +108,19 @@
     'of its calls from {begin:f} s to {end:f} s '
     'at least {least:f} are late or never served',
 )
-def check_harm(
+def check_control_fails(
     context: Context,
     begin: float,
     end: float,
     least: float,
 ) -> None:
-    """See the harm."""
+    """Check that the control run fails calls."""
     share = 1 - served(context, begin, end).in_time_share
     assert share >= least, share
 
 
 @given("the route's callers want answers within {seconds:f} seconds")
-def want_answers(context: Context, seconds: float) -> None:
+def set_objective(context: Context, seconds: float) -> None:
     """Write a manifest with an objective."""
     world_of(context).put_manifest(
         6,
@@ -129,16 +129,16 @@
     )
 
 
-@when('all upstreams come to work {seconds:f} seconds')
-def slow_down(context: Context, seconds: float) -> None:
-    """Let all requests take longer."""
+@when('the service time of all upstreams becomes {seconds:f} seconds')
+def set_service_time(context: Context, seconds: float) -> None:
+    """Increase the service time of all upstreams."""
     for upstream in world_of(context).upstreams.values():
         upstream.work_seconds = seconds
 
 
 @when('an upstream crashes and another process registers at its address')
-def replace(context: Context) -> None:
-    """Start another process before the entry of the old one has lapsed."""
+def replace_crashed(context: Context) -> None:
+    """Start another process before the entry of the old one expires."""
     world = world_of(context)
     mark(context, busiest(context))
     context.marked.condition = Condition.DARK
@@ -147,8 +147,8 @@
 
 
 @when("another entry of an upstream's address is read together with its own")
-def read_both(context: Context) -> None:
-    """Let a node that starts find both entries."""
+def read_both_entries(context: Context) -> None:
+    """Start a node that reads both entries."""
     world = world_of(context)
     mark(context, busiest(context))
     name = 'i-00000000ff'
