--- a/tests/steps/packets_placing.py
+++ b/tests/steps/packets_placing.py
@@ -1,4 +1,4 @@
-"""Steps that count what the placing of new flows takes."""
+"""Steps that count the upstreams checked by the placement of a flow."""
 
 from collections import Counter
 from unittest import mock
@@ -12,21 +12,21 @@
 
 
 @when('{count:d} new flows in "{domain}" are placed')
-def place(context: Context, count: int, domain: str) -> None:
-    """Open flows, and count the upstreams that are looked at."""
-    looks = 0
-    look = UpstreamRegistry.presence
+def place_flows(context: Context, count: int, domain: str) -> None:
+    """Open flows, and count the upstreams that are checked."""
+    checks = 0
+    original = UpstreamRegistry.presence
 
-    def count_look(self: UpstreamRegistry, *given: object) -> object:
-        nonlocal looks
-        looks += 1
-        return look(self, *given)  # type: ignore[arg-type]
+    def count_check(self: UpstreamRegistry, *given: object) -> object:
+        nonlocal checks
+        checks += 1
+        return original(self, *given)  # type: ignore[arg-type]
 
-    with mock.patch.object(UpstreamRegistry, 'presence', count_look):
+    with mock.patch.object(UpstreamRegistry, 'presence', count_check):
         for _ in range(count):
             open_flows(context, 1, domain)
             world_of(context).timeline.run(0.01)
-    context.looks = looks / count
+    context.checks = checks / count
     placer: PacketPlacer = node_of(context, domain).core.updater.placer
     context.placed = Counter(
         {
@@ -36,15 +36,15 @@
     )
 
 
-@then('each looked at {most:d} upstreams at most')
-def check_looks(context: Context, most: int) -> None:
-    """Compare the mean; each upstream is looked at twice."""
-    assert context.looks <= 2 * most, context.looks
+@then('each checked {most:d} upstreams at most')
+def check_count(context: Context, most: int) -> None:
+    """Check the mean; each upstream is checked twice."""
+    assert context.checks <= 2 * most, context.checks
 
 
 @then('no upstream got more than {most:d} of them')
 def check_spread(context: Context, most: int) -> None:
-    """Look at the busiest."""
+    """Check the upstream with the most flows."""
     assert sum(context.placed.values()) >= 50, context.placed.total()
     busiest = context.placed.most_common(1)[0]
     assert busiest[1] <= most, busiest
