--- a/tests/packets/registry.feature
+++ b/tests/packets/registry.feature
@@ -1,11 +1,11 @@
-Feature: What the list of upstreams says, and when its silence proves something
-  Entries vanish when an upstream leaves, when it crashes, and while the store
-  is in trouble. Only time with a working store tells them apart.
+Feature: The service registry, and when a missing entry proves a failure
+  Entries are removed when an upstream leaves, when it crashes, and while the
+  store is unavailable. Only time with a healthy store tells the cases apart.
 
-  Scenario: Entries that lapsed with the store cost no flow
-    # The store was down; every entry lapsed. It returns, and for two seconds
-    # its list is empty although every upstream lives. Clients must notice
-    # nothing: neither resets nor refused openings.
+  Scenario: Entries that expired while the store was down cost no flow
+    # The store was down, and all entries expired. For two seconds after its
+    # recovery the list is empty although every upstream is alive. Clients must
+    # get neither resets nor refusals.
     Given a domain "a" with 1 node and 3 upstreams
     And 6 open flows in "a"
     When all entries lapse
@@ -17,9 +17,9 @@
     Then every request is served
     And no flow was ended by a node
 
-  Scenario: A flow to an upstream that stays missing is ended on its first repeat
-    # An upstream crashed, and its entry was removed. One client sends on a
-    # flow to it. After 2.4 s with a working store the entry would be back.
+  Scenario: A flow to an absent upstream is reset on its first retransmission
+    # An upstream crashed, and its entry was removed. One client sends on a flow
+    # to it. After 2.4 s with a healthy store a living one would be registered.
     Given a domain "a" with 1 node and 2 upstreams
     And 8 open flows in "a"
     When an upstream falls silent
@@ -29,9 +29,9 @@
     And 0.3 seconds pass
     Then all flows on it were ended by a node
 
-  Scenario: A flow to an upstream that is missing but answers is carried on
-    # Its entry was removed because it can't reach the store; clients still
-    # get answers from it. Its entry alone must not end their flows.
+  Scenario: A flow to an absent upstream that answers is kept
+    # Its entry was removed because it can't reach the store, but clients still
+    # get answers. The missing entry alone must not reset their flows.
     Given a domain "a" with 1 node and 2 upstreams
     And 8 open flows in "a"
     When its entry is removed for one upstream
@@ -40,9 +40,9 @@
     Then every request is served
     And no flow was ended by a node
 
-  Scenario: A node that has just started does not end flows it cannot place
-    # A node comes back after the store lost its entries. Flows name upstreams
-    # that it has never heard of; they may be back in a moment.
+  Scenario: A node that has just started keeps flows of unknown upstreams
+    # A node starts after the store lost its entries. Flows name upstreams that
+    # it has never known, but that may be registered again soon.
     Given a domain "a" with 1 node and 2 upstreams
     And 4 open flows in "a"
     When all entries lapse
@@ -54,9 +54,9 @@
     And 0.8 seconds pass
     Then every request is served
 
-  Scenario: A node that has read a working store for long ends unknown flows
-    # The same, but the upstreams are gone for good: clients are told at once
-    # instead of at their deadline.
+  Scenario: A node that has read a healthy store for long resets unknown flows
+    # As above, but the upstreams are gone for good: clients get a reset at once
+    # instead of waiting for their deadlines.
     Given a domain "a" with 1 node and 2 upstreams
     And 4 open flows in "a"
     When all upstreams fall silent and their entries are removed
@@ -66,9 +66,9 @@
     And 0.5 seconds pass
     Then every flow was ended by a node
 
-  Scenario: An upstream that drains gets no new flow and keeps its old ones
-    # A release replaces an upstream: it says so, goes on answering on its
-    # flows, and must not get openings 3 s later.
+  Scenario: A draining upstream gets no new flow and keeps its open ones
+    # A release replaces an upstream. It registers as draining, still answers on
+    # its flows, and must not get openings 3 s later.
     Given a domain "a" with 1 node and 2 upstreams
     And 8 open flows in "a"
     When an upstream drains
@@ -77,8 +77,8 @@
     Then every request is served
     And the draining upstream got no opening since
 
-  Scenario: An upstream that starts again under its name is not held to its past
-    # It was put aside for missing openings; its new process is well.
+  Scenario: An upstream that is restarted under its name is not ejected
+    # It was ejected for unanswered openings; its new process is healthy.
     Given a domain "a" with 1 node and 1 upstream
     When an upstream falls silent
     And 3 new flows in "a" send a request
@@ -87,7 +87,7 @@
     And 3 new flows in "a" send a request
     Then the last 3 requests are served
 
-  Scenario Outline: An entry that cannot be used names no upstream
+  Scenario Outline: An invalid entry adds no upstream
     # Another program writes into the list by mistake.
     Given a domain "a" with 1 node and 2 upstreams
     When somebody writes the entry <entry>
@@ -108,16 +108,16 @@
       | {"Service": "ledger", "Address": "10.2.0.99:8080", "Zone": null, "Slots": 2, "State": "ready"} |
 
   Scenario: An upstream whose entry becomes unreadable gets no new flow
-    # Its own entry was overwritten by another program.
+    # Its entry was overwritten by another program.
     Given a domain "a" with 1 node and 2 upstreams
     When the entry of one upstream is overwritten with rubbish
     And 6 new flows in "a" send a request
     Then every request is served
     And that upstream got no opening since
 
-  Scenario: A store that hung for a moment does not keep the gone for ever
-    # A watch timed out once and went on. An hour later an upstream crashes;
-    # its flows must be ended as on any other day.
+  Scenario: A short failure of the store does not keep lost flows forever
+    # A watch timed out once and was continued. Later an upstream crashes; its
+    # flows must be reset as without the timeout.
     Given a domain "a" with 1 node and 2 upstreams
     And 8 open flows in "a"
     When the node of "a" loses touch with the store for a moment
@@ -128,10 +128,10 @@
     And 0.3 seconds pass
     Then all flows on it were ended by a node
 
-  Scenario: A node that starts while the list is empty refuses nobody
-    # The store was down and all entries lapsed; a node is killed and reads the
-    # empty list at its start. The entries are back within two seconds: clients
-    # that were refused would give up, those that hear nothing send again.
+  Scenario: A node that starts while the list is empty refuses no opening
+    # The store was down, and all entries expired. A node is killed and reads
+    # the empty list at its start. The entries are back within two seconds.
+    # Clients would give up after a refusal, but retransmit without one.
     Given a domain "a" with 1 node and 2 upstreams
     When all entries lapse
     And the node of "a" is started anew
@@ -141,8 +141,9 @@
     When all entries are written again
     Then every request is served
 
-  Scenario: A service whose upstreams are gone for good is refused at once
-    # The same, and nothing comes back: once it would have, clients are told.
+  Scenario: Openings for a service whose upstreams are gone are refused at once
+    # As above, but no entry comes back within the time that a living upstream
+    # would need.
     Given a domain "a" with 1 node and 2 upstreams
     When all upstreams fall silent and their entries are removed
     And the node of "a" is started anew
