--- a/burdocksill/packets/losses.py
+++ b/burdocksill/packets/losses.py
@@ -14,7 +14,7 @@
 from burdocksill.packets.health import EXPIRED_ANSWER_FACTOR, GROUP_MIN_SECONDS
 from burdocksill.packets.upstreams import (
     KnownUpstream,
-    Presence,
+    RegistrationState,
     UpstreamRegistry,
 )
 from burdocksill.packets.verdicts import Reason
@@ -50,8 +50,11 @@
             # unresponsive, and without flows it would look the least loaded.
             health.eject(now)
             return Reason.UPSTREAM_DARK
-        presence = self.upstreams.presence(upstream, now)
-        if presence is Presence.GONE and health.unanswered_flows:
+        registration_state = self.upstreams.registration_state(upstream, now)
+        if (
+            registration_state is RegistrationState.GONE
+            and health.unanswered_flows
+        ):
             return Reason.UPSTREAM_GONE
         expired = self.upstreams.stopped_renewing(upstream)
         if expired and health.has_overdue_flow(
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -12,7 +12,7 @@
 from burdocksill.packets.routing import RoutingTable
 from burdocksill.packets.upstreams import (
     KnownUpstream,
-    Presence,
+    RegistrationState,
     UpstreamRegistry,
 )
 from burdocksill.packets.verdicts import Reason
@@ -327,7 +327,10 @@
         exclude: Container[str],
     ) -> int:
         """Return the rank of an upstream."""
-        if self.upstreams.presence(upstream, now) is Presence.EXPIRED:
+        if (
+            self.upstreams.registration_state(upstream, now)
+            is RegistrationState.EXPIRED
+        ):
             return EXPIRED
         if upstream.record.name in exclude or upstream.health.is_ejected(now):
             return EJECTED
--- a/burdocksill/packets/upstreams.py
+++ b/burdocksill/packets/upstreams.py
@@ -25,10 +25,10 @@
 ECHO_MASK: Final = (1 << 32) - 1
 
 
-class Presence(enum.Enum):
+class RegistrationState(enum.Enum):
     """State of an upstream's registration."""
 
-    PRESENT = 'present'
+    REGISTERED = 'registered'
     # Its entry was removed recently, or while the store was unavailable, so
     # that it may be registered again.
     EXPIRED = 'expired'
@@ -80,18 +80,20 @@
         """Return True while it is registered and was not replaced."""
         return not self.absent_since and not self.is_replaced
 
-    def presence(self, now: float, store_healthy_since: float) -> Presence:
+    def registration_state(
+        self, now: float, store_healthy_since: float
+    ) -> RegistrationState:
         """Return whether it is registered, may be again, or is gone for good.
 
         It counts as gone only ABSENT_SECONDS after both the removal of its
         entry and the time since which the store is healthy.
         """
         if not self.absent_since:
-            return Presence.PRESENT
+            return RegistrationState.REGISTERED
         counted_from = max(self.absent_since, store_healthy_since)
         if now - counted_from < ABSENT_SECONDS:
-            return Presence.EXPIRED
-        return Presence.GONE
+            return RegistrationState.EXPIRED
+        return RegistrationState.GONE
 
     def admits(self, urgency: int) -> bool:
         """Return True when it can answer one more flow in time."""
@@ -310,7 +312,8 @@
         """Return True when its echo is its own and it is not gone for good."""
         return (
             self.by_echo.get(upstream.echo) is upstream
-            and self.presence(upstream, now) is not Presence.GONE
+            and self.registration_state(upstream, now)
+            is not RegistrationState.GONE
         )
 
     def stopped_renewing(self, upstream: KnownUpstream) -> bool:
@@ -318,10 +321,12 @@
         since = self.store_healthy_since
         return 0 < since <= upstream.absent_since - LEASE_SECONDS
 
-    def presence(self, upstream: KnownUpstream, now: float) -> Presence:
+    def registration_state(
+        self, upstream: KnownUpstream, now: float
+    ) -> RegistrationState:
         """Return the state of an upstream's registration."""
         if upstream.is_replaced:
-            return Presence.GONE
+            return RegistrationState.GONE
         if not self.store_healthy_since and upstream.absent_since:
-            return Presence.EXPIRED
-        return upstream.presence(now, self.store_healthy_since)
+            return RegistrationState.EXPIRED
+        return upstream.registration_state(now, self.store_healthy_since)
--- a/tests/steps/packets_placing.py
+++ b/tests/steps/packets_placing.py
@@ -15,14 +15,14 @@
 def place_flows(context: Context, count: int, domain: str) -> None:
     """Open flows, and count the upstreams that are checked."""
     checks = 0
-    original = UpstreamRegistry.presence
+    original = UpstreamRegistry.registration_state
 
     def count_check(self: UpstreamRegistry, *given: object) -> object:
         nonlocal checks
         checks += 1
         return original(self, *given)  # type: ignore[arg-type]
 
-    with mock.patch.object(UpstreamRegistry, 'presence', count_check):
+    with mock.patch.object(UpstreamRegistry, 'registration_state', count_check):
         for _ in range(count):
             open_flows(context, 1, domain)
             world_of(context).timeline.run(0.01)
