--- a/burdocksill/packets/upstreams.py
+++ b/burdocksill/packets/upstreams.py
@@ -81,12 +81,14 @@
         return not self.absent_since and not self.is_replaced
 
     def registration_state(
-        self, now: float, store_healthy_since: float
+        self,
+        now: float,
+        store_healthy_since: float,
     ) -> RegistrationState:
         """Return whether it is registered, may be again, or is gone for good.
 
-        It counts as gone only ABSENT_SECONDS after both the removal of its
-        entry and the time since which the store is healthy.
+        It is gone if its entry has been absent for the grace period, counted
+        only while the store is healthy.
         """
         if not self.absent_since:
             return RegistrationState.REGISTERED
@@ -322,7 +324,9 @@
         return 0 < since <= upstream.absent_since - LEASE_SECONDS
 
     def registration_state(
-        self, upstream: KnownUpstream, now: float
+        self,
+        upstream: KnownUpstream,
+        now: float,
     ) -> RegistrationState:
         """Return the state of an upstream's registration."""
         if upstream.is_replaced:
