--- a/burdocksill_lab/packets/store.py
+++ b/burdocksill_lab/packets/store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' store: its published calls over real sockets."""
+"""Fake of the users' store that serves its published calls over HTTP."""
 
 import base64
 import enum
@@ -23,31 +23,31 @@
 TOO_MANY: Final = 429
 UNAVAILABLE: Final = 503
 MEDIA_TYPE: Final = 'application/json'
-# Keys that operators and upstreams write, which the system may not.
-FOREIGN: Final = ('op/', 'servers/')
+# Prefixes that only operators and upstreams may write; a call gets 403.
+READ_ONLY_PREFIXES: Final = ('op/', 'servers/')
 MILLISECONDS: Final = 1000
-SENT_BYTES: Final = 16384
-# How late a lease may end.
-LEASE_STEP_SECONDS: Final = 0.05
+CHUNK_BYTES: Final = 16384
+# Interval of the check for expired leases; they end at most this late.
+LEASE_CHECK_SECONDS: Final = 0.05
 
 
 class Trouble(enum.Enum):
-    """Name what is wrong with the store."""
+    """Fault that is injected into the store's answers."""
 
     NONE = 'none'
     BUSY = 'busy'
     MANY = 'many'
     RESET = 'reset'
     SILENT = 'silent'
-    # Writes are done, and their answers lost.
+    # Writes are applied, but their answers are never sent.
     LOST = 'lost'
-    # Answers stop half-way.
+    # The first half of each answer is sent, then nothing more.
     HALF = 'half'
 
 
 @attrs.define(kw_only=True)
 class Item:
-    """Hold one key; a removed one stays in the history without a value."""
+    """One revision of a key; a removal has no value."""
 
     key: str
     value: bytes
@@ -56,8 +56,8 @@
     lease: int = 0
     removed: bool = False
 
-    def body(self) -> dict[str, Any]:
-        """Write it as the store's calls do."""
+    def to_json(self) -> dict[str, Any]:
+        """Return the item in the JSON form of the store's API."""
         if self.removed:
             return {'Key': self.key, 'Rev': self.revision, 'Removed': True}
         return {
@@ -71,38 +71,38 @@
 
 @attrs.define(kw_only=True)
 class Lease:
-    """Hold how long a lease runs after each renewal, and until when."""
+    """Lease with its time to live and its expiry time, in seconds."""
 
     seconds: float
-    until: float
+    expires_at: float
 
 
 @attrs.define(kw_only=True)
 class LabStore:
-    """Hold keys, their history and the watches that wait for changes."""
+    """In-memory key-value store with revisions, watches and leases."""
 
     revision: int = 10
     items: dict[str, Item] = attrs.field(factory=dict)
     history: list[Item] = attrs.field(factory=list)
-    # Watches from before this revision get 410.
+    # Watches that start before this revision get 410.
     compacted: int = 0
     page_items: int = PAGE_ITEMS
     leases: dict[int, Lease] = attrs.field(factory=dict)
-    leases_begun: int = 0
-    # Hosts that are turned away while the others are served.
+    leases_granted: int = 0
+    # Client hosts whose connections are closed without an answer.
     turned_away: set[str] = attrs.field(factory=set)
     trouble: Trouble = Trouble.NONE
     delay_seconds: float = 0
     connections: int = 0
-    # Connections up to this number carry nothing more; new ones work.
+    # Connections numbered up to this one get no more answers; newer ones do.
     muted: int = 0
-    # What the store's link carries; 0 for any amount.
+    # Bandwidth of the store's link; 0 is unlimited.
     bytes_per_second: float = 0
     calls: list[str] = attrs.field(factory=list)
     changed: trio.Event = attrs.field(factory=trio.Event)
 
     def put(self, key: str, value: bytes, lease: int = 0) -> None:
-        """Write a key."""
+        """Write a key at the next revision."""
         self.revision += 1
         before = self.items.get(key)
         created = before.created if before else self.revision
@@ -114,13 +114,13 @@
             lease=lease,
         )
         self.items[key] = item
-        self.note(item)
+        self.record_change(item)
 
     def remove(self, key: str) -> None:
-        """Remove a key that is there."""
+        """Remove an existing key; KeyError if there is none."""
         before = self.items.pop(key)
         self.revision += 1
-        self.note(
+        self.record_change(
             Item(
                 key=key,
                 value=b'',
@@ -130,29 +130,29 @@
             ),
         )
 
-    def note(self, item: Item) -> None:
-        """Keep a change and wake the watches."""
+    def record_change(self, item: Item) -> None:
+        """Append a change to the history and wake the watches."""
         self.history.append(item)
         waiting = self.changed
         self.changed = trio.Event()
         waiting.set()
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Discard the history up to the current revision."""
         self.compacted = self.revision
         self.history.clear()
 
     async def run_leases(self) -> None:
-        """End leases that are not renewed, for as long as the store runs."""
+        """Expire leases that are not renewed, until cancelled."""
         while True:
-            await trio.sleep(LEASE_STEP_SECONDS)
+            await trio.sleep(LEASE_CHECK_SECONDS)
             now = trio.current_time()
             for number, lease in list(self.leases.items()):
-                if lease.until < now:
-                    self.end(number)
+                if lease.expires_at < now:
+                    self.revoke_lease(number)
 
-    def end(self, number: int) -> bool:
-        """End a lease and remove its keys; False when there is none."""
+    def revoke_lease(self, number: int) -> bool:
+        """Revoke a lease and remove its keys; False when there is none."""
         if self.leases.pop(number, None) is None:
             return False
         for key, item in list(self.items.items()):
@@ -170,7 +170,7 @@
         try:
             await self.serve_all(protocol, stream, self.connections)
         except (h11.ProtocolError, OSError, trio.BrokenResourceError):
-            # The client went away; its connection is all there is to end.
+            # The client disconnected; only its connection has to be closed.
             return
         finally:
             await trio.aclose_forcefully(stream)
@@ -181,7 +181,7 @@
         stream: trio.abc.Stream,
         number: int,
     ) -> None:
-        """Answer one request after the other."""
+        """Answer requests in order until the connection ends."""
         while True:
             request = await next_event(protocol, stream)
             if not isinstance(request, h11.Request):
@@ -194,31 +194,31 @@
                 return
             if number <= self.muted:
                 await trio.sleep_forever()
-            written = write_reply(protocol, reply)
+            encoded = write_reply(protocol, reply)
             if self.trouble is Trouble.HALF:
-                await stream.send_all(written[: len(written) // 2])
+                await stream.send_all(encoded[: len(encoded) // 2])
                 await trio.sleep_forever()
-            await self.send(stream, written)
+            await self.send(stream, encoded)
             protocol.start_next_cycle()
 
-    async def send(self, stream: trio.abc.Stream, written: bytes) -> None:
-        """Send an answer, not faster than the store's link carries it."""
+    async def send(self, stream: trio.abc.Stream, encoded: bytes) -> None:
+        """Send an answer, throttled to `bytes_per_second`."""
         if not self.bytes_per_second:
-            await stream.send_all(written)
+            await stream.send_all(encoded)
             return
-        for start in range(0, len(written), SENT_BYTES):
-            part = written[start : start + SENT_BYTES]
+        for start in range(0, len(encoded), CHUNK_BYTES):
+            part = encoded[start : start + CHUNK_BYTES]
             await stream.send_all(part)
             await trio.sleep(len(part) / self.bytes_per_second)
 
     async def answer(
         self, request: h11.Request, body: bytes
     ) -> HttpReply | None:
-        """Return an answer, None to break the connection."""
+        """Return the answer to a request; None closes the connection."""
         target = request.target.decode()
         self.calls.append(target)
         await trio.sleep(self.delay_seconds)
-        refused = await self.in_trouble()
+        refused = await self.inject_fault()
         if refused is not None or self.trouble is Trouble.RESET:
             return refused
         parts = urlsplit(target)
@@ -228,8 +228,8 @@
             await trio.sleep_forever()
         return reply
 
-    async def in_trouble(self) -> HttpReply | None:
-        """Refuse or hold a call, as the trouble wants."""
+    async def inject_fault(self) -> HttpReply | None:
+        """Return an error answer, or block, as the injected fault demands."""
         if self.trouble is Trouble.SILENT:
             await trio.sleep_forever()
         if self.trouble is Trouble.BUSY:
@@ -244,75 +244,80 @@
         query: dict[str, str],
         body: bytes,
     ) -> HttpReply:
-        """Carry out one call."""
+        """Dispatch a call by its path."""
         if path == '/-/kv-watch':
             return await self.watch(query)
         calls: dict[str, Callable[[], HttpReply]] = {
             '/-/kv-key': lambda: self.read_key(query),
             '/-/kv-range': lambda: self.read_range(query),
             '/-/kv-txn': lambda: self.write(json.loads(body)),
-            '/-/kv-lease': lambda: self.grant(json.loads(body)),
+            '/-/kv-lease': lambda: self.grant_lease(json.loads(body)),
         }
         head, _, number = path.rpartition('/')
         if head == '/-/kv-keep':
-            return self.keep(int(number))
+            return self.keep_lease_alive(int(number))
         if head == '/-/kv-lease-end':
-            return HttpReply(status=OK if self.end(int(number)) else NOT_FOUND)
-        found = calls.get(path)
-        return found() if found else HttpReply(status=NOT_FOUND)
+            return HttpReply(
+                status=OK if self.revoke_lease(int(number)) else NOT_FOUND
+            )
+        handler = calls.get(path)
+        return handler() if handler else HttpReply(status=NOT_FOUND)
 
     def read_key(self, query: dict[str, str]) -> HttpReply:
-        """Answer with one key."""
+        """Answer with one key, 404 when it does not exist."""
         item = self.items.get(query.get('Key', ''))
         if item is None:
             return HttpReply(status=NOT_FOUND)
-        return answered({**item.body(), 'AsOf': self.revision})
+        return json_reply({**item.to_json(), 'AsOf': self.revision})
 
     def read_range(self, query: dict[str, str]) -> HttpReply:
-        """Answer with a page of keys."""
+        """Answer with a page of the keys under a prefix, in order."""
         prefix, after = query.get('Prefix', ''), query.get('after', '')
         keys = sorted(
             key for key in self.items if key.startswith(prefix) and key > after
         )
-        page = [self.items[key].body() for key in keys[: self.page_items]]
-        more = len(keys) > self.page_items
-        return answered(
-            {'items': page, 'HasMore': more, 'AsOf': self.revision},
+        page = [self.items[key].to_json() for key in keys[: self.page_items]]
+        has_more = len(keys) > self.page_items
+        return json_reply(
+            {'items': page, 'HasMore': has_more, 'AsOf': self.revision},
         )
 
     async def watch(self, query: dict[str, str]) -> HttpReply:
-        """Answer once something has changed, or the wait is over."""
+        """Answer once a key under the prefix changes, or at the timeout."""
         after = int(query['after'])
         prefix = query.get('Prefix', '')
         with trio.move_on_after(int(query['WaitMs']) / MILLISECONDS):
-            while not self.since(after, prefix) and after >= self.compacted:
+            while (
+                not self.changes_after(after, prefix)
+                and after >= self.compacted
+            ):
                 await self.changed.wait()
         if after < self.compacted:
             return HttpReply(status=GONE)
-        events = [item.body() for item in self.since(after, prefix)]
-        return answered({'events': events, 'AsOf': self.revision})
+        events = [item.to_json() for item in self.changes_after(after, prefix)]
+        return json_reply({'events': events, 'AsOf': self.revision})
 
-    def since(self, after: int, prefix: str) -> list[Item]:
-        """Return the changes after a revision."""
+    def changes_after(self, after: int, prefix: str) -> list[Item]:
+        """Return the changes of keys under a prefix after a revision."""
         return [
             item
             for item in self.history
             if item.revision > after and item.key.startswith(prefix)
         ]
 
-    def write(self, wanted: dict[str, Any]) -> HttpReply:
-        """Write all or nothing."""
-        rows = wanted.get('Expect', [])
+    def write(self, arguments: dict[str, Any]) -> HttpReply:
+        """Apply a transaction; 412 when an expected revision differs."""
+        rows = arguments.get('Expect', [])
         for row in rows:
             if self.revision_of(row['Key']) != row['Rev']:
                 current = [
-                    self.items[one['Key']].body()
+                    self.items[one['Key']].to_json()
                     for one in rows
                     if one['Key'] in self.items
                 ]
-                return answered({'items': current}, CONFLICT)
-        puts = wanted.get('Puts', [])
-        if any(put['Key'].startswith(FOREIGN) for put in puts):
+                return json_reply({'items': current}, CONFLICT)
+        puts = arguments.get('Puts', [])
+        if any(put['Key'].startswith(READ_ONLY_PREFIXES) for put in puts):
             return HttpReply(status=FORBIDDEN)
         leases = {put.get('Lease', 0) for put in puts} - {0}
         if leases - self.leases.keys():
@@ -320,44 +325,44 @@
         for put in puts:
             value = base64.b64decode(put['Value'])
             self.put(put['Key'], value, put.get('Lease', 0))
-        for key in wanted.get('Delete', []):
+        for key in arguments.get('Delete', []):
             if key in self.items:
                 self.remove(key)
-        return answered({'Rev': self.revision})
+        return json_reply({'Rev': self.revision})
 
     def revision_of(self, key: str) -> int:
         """Return the revision of a key, 0 where there is none."""
         item = self.items.get(key)
         return item.revision if item else 0
 
-    def grant(self, wanted: dict[str, Any]) -> HttpReply:
-        """Begin a lease."""
-        self.leases_begun += 1
-        seconds = wanted['TtlMs'] / MILLISECONDS
-        self.leases[self.leases_begun] = Lease(
+    def grant_lease(self, arguments: dict[str, Any]) -> HttpReply:
+        """Grant a lease."""
+        self.leases_granted += 1
+        seconds = arguments['TtlMs'] / MILLISECONDS
+        self.leases[self.leases_granted] = Lease(
             seconds=seconds,
-            until=trio.current_time() + seconds,
+            expires_at=trio.current_time() + seconds,
         )
-        return answered({'Lease': self.leases_begun, **wanted})
+        return json_reply({'Lease': self.leases_granted, **arguments})
 
-    def keep(self, number: int) -> HttpReply:
-        """Renew a lease that still runs."""
+    def keep_lease_alive(self, number: int) -> HttpReply:
+        """Renew a lease, 404 when it has expired."""
         lease = self.leases.get(number)
         if lease is None:
             return HttpReply(status=NOT_FOUND)
-        lease.until = trio.current_time() + lease.seconds
-        return answered({'TtlMs': round(lease.seconds * MILLISECONDS)})
+        lease.expires_at = trio.current_time() + lease.seconds
+        return json_reply({'TtlMs': round(lease.seconds * MILLISECONDS)})
 
 
 def host_of(stream: trio.abc.Stream) -> str:
-    """Return the host at the other end, empty where it isn't known."""
+    """Return the peer's host, or an empty string if unknown."""
     if isinstance(stream, trio.SocketStream):
         return str(stream.socket.getpeername()[0])
     return str(getattr(stream, 'remote', ''))
 
 
-def answered(body: dict[str, Any], status: int = OK) -> HttpReply:
-    """Return a JSON answer."""
+def json_reply(body: dict[str, Any], status: int = OK) -> HttpReply:
+    """Return a reply with a JSON body."""
     return HttpReply(
         status=status,
         body=json.dumps(body).encode(),
@@ -380,7 +385,7 @@
 
 
 def write_reply(protocol: h11.Connection, reply: HttpReply) -> bytes:
-    """Return the bytes of an answer that keeps the connection."""
+    """Return the bytes of an answer; the connection is kept open."""
     head = h11.Response(
         status_code=reply.status,
         headers=[
