--- a/burdocksill_lab/packets/world.py
+++ b/burdocksill_lab/packets/world.py
@@ -1,4 +1,4 @@
-"""A whole packet world on virtual time: nodes run the product's own code."""
+"""Simulation of the packet path on virtual time with the real node code."""
 
 import json
 import math
@@ -10,7 +10,7 @@
 
 import attrs
 
-from burdocksill.network.addresses import Address as Place
+from burdocksill.network.addresses import Address as NodeAddress
 from burdocksill.packets.core import PacketCore, make_core
 from burdocksill.packets.header import format_ipv4, parse_ipv4
 from burdocksill.packets.settings import PacketSettings
@@ -42,13 +42,13 @@
 
 @attrs.frozen(kw_only=True)
 class Objective:
-    """Hold within which a route's callers want answers, and how urgently."""
+    """Latency objective (0 for none) and priority of a route's requests."""
 
     seconds: float = 0
     priority: int = 0
 
     def fields(self) -> dict[str, float]:
-        """Return its fields of a route in a manifest."""
+        """Return the manifest fields of a route with this objective."""
         return {'SloMs': self.seconds * 1000, 'Priority': self.priority}
 
 
@@ -57,7 +57,7 @@
 
 @attrs.define(kw_only=True)
 class LabNode:
-    """Hold a node of the world; a stopped one loses what reaches it."""
+    """Simulated node; one that is not alive drops received datagrams."""
 
     name: str
     domain: str
@@ -65,33 +65,33 @@
     core: PacketCore
     timeline: Timeline
     alive: bool = True
-    # A node that is cut off from the store hears no changes.
+    # False while the node is partitioned from the store.
     follows: bool = True
-    # A node that stands still handles nothing; what comes in waits here.
+    # A paused node handles nothing; datagrams queue in `backlog`.
     stands: bool = False
     backlog: list[bytes] = attrs.field(factory=list)
 
     def receive(self, payload: bytes, _: Address) -> None:
-        """Handle a datagram at once, or keep it while the node stands."""
+        """Handle a datagram at once, or queue it while the node is paused."""
         if self.stands:
             self.backlog.append(payload)
         elif self.alive:
             self.core.handle(payload, self.timeline.now)
-            self.wait_for_missed()
+            self.schedule_expiry()
 
-    def wait_for_missed(self) -> None:
-        """Look for missed openings when the next one is due."""
+    def schedule_expiry(self) -> None:
+        """Schedule the next expiry of unanswered opening packets."""
         wait = self.core.seconds_until_due(self.timeline.now)
         if not math.isinf(wait):
             self.timeline.after(wait, self.expire_openings)
 
     def expire_openings(self) -> None:
-        """Conclude from missed openings, as a node does that has read all."""
+        """Expire overdue openings, as a node with an empty socket does."""
         if self.alive and not self.stands:
             self.core.expire_openings(self.timeline.now)
 
     def go_on(self) -> None:
-        """Handle all that has come in meanwhile, in one go."""
+        """Resume after a pause and handle the backlog at once."""
         self.stands = False
         for payload in self.backlog:
             self.core.handle(payload, self.timeline.now)
@@ -100,7 +100,7 @@
 
 @attrs.define(kw_only=True)
 class PacketWorld:
-    """Hold clients, routers, nodes, upstreams and the store's content."""
+    """Clients, routers, nodes, upstreams and store content of a simulation."""
 
     seed: int
     timeline: VirtualTimeline = attrs.field(factory=VirtualTimeline)
@@ -115,7 +115,7 @@
     fresh_names: Iterator[str] = attrs.field(factory=lambda: names('i'))
 
     def __attrs_post_init__(self) -> None:
-        """Prepare the network."""
+        """Create the random generator and the network."""
         self.rng = Random(self.seed)
         self.network = DatagramNetwork(timeline=self.timeline)
 
@@ -130,9 +130,9 @@
         settings = PacketSettings(
             name=f'entry-{len(self.nodes) + 1}',
             domain=domain,
-            listen=Place(host, PORT),
-            ready=Place(host, 1),
-            platform=Place('10.200.0.1', 1),
+            listen=NodeAddress(host, PORT),
+            ready=NodeAddress(host, 1),
+            platform=NodeAddress('10.200.0.1', 1),
         )
         socket: Any = MemorySocket(network=self.network, address=address)
         node = LabNode(
@@ -176,29 +176,29 @@
         self.register(upstream)
         return upstream
 
-    def replace_upstream(self, before: LabUpstream) -> LabUpstream:
-        """Start another process at the address of one that has ended."""
-        fresh = LabUpstream(
+    def replace_upstream(self, previous: LabUpstream) -> LabUpstream:
+        """Start a new process at the address of one that has ended."""
+        replacement = LabUpstream(
             name=next(self.fresh_names),
-            address=before.address,
-            service=before.service,
-            domain=before.domain,
+            address=previous.address,
+            service=previous.service,
+            domain=previous.domain,
             timeline=self.timeline,
             network=self.network,
             client_port=PORT,
-            work_seconds=before.work_seconds,
+            work_seconds=previous.work_seconds,
         )
-        self.upstreams[fresh.name] = fresh
-        self.network.receivers[fresh.address] = fresh.receive
-        self.put_entry(fresh, fresh.entry('ready', born=2))
-        return fresh
+        self.upstreams[replacement.name] = replacement
+        self.network.receivers[replacement.address] = replacement.receive
+        self.put_entry(replacement, replacement.entry('ready', born=2))
+        return replacement
 
     def register(self, upstream: LabUpstream, state: str = 'ready') -> None:
         """Write an upstream's entry."""
         write_entry(self.put, upstream, state)
 
     def put_entry(self, upstream: LabUpstream, entry: dict[str, Any]) -> None:
-        """Write what an upstream says of itself."""
+        """Write an upstream's registration."""
         self.put(UPSTREAMS + upstream.name, json.dumps(entry).encode())
 
     def deregister(self, upstream: LabUpstream) -> None:
@@ -212,46 +212,46 @@
         cold_per_second: float = 0,
         objectives: Mapping[int, Objective] = NO_OBJECTIVES,
     ) -> None:
-        """Write a manifest that sends ports to services."""
+        """Write a manifest that routes ports to services."""
         write_manifest(self.put, version, routes, cold_per_second, objectives)
 
     def take_out(self, domain: str) -> None:
-        """Take a failure domain out."""
+        """Take a failure domain out of service."""
         self.put(DOMAINS_OUT + domain, b'{}')
 
     def put(self, key: str, value: bytes) -> None:
-        """Write a key and let the nodes hear of it."""
+        """Write a key and notify the nodes."""
         self.store[key] = value
         self.revision += 1
-        self.tell(StoredValue(key=key, value=value, revision=self.revision))
+        self.publish(StoredValue(key=key, value=value, revision=self.revision))
 
     def remove(self, key: str) -> None:
-        """Remove a key and let the nodes hear of it."""
+        """Remove a key and notify the nodes."""
         del self.store[key]
         self.revision += 1
-        gone = StoredValue(
+        removal = StoredValue(
             key=key,
             value=b'',
             revision=self.revision,
             removed=True,
         )
-        self.tell(gone)
+        self.publish(removal)
 
-    def tell(self, change: StoredValue) -> None:
-        """Let the nodes that follow the store learn of a change."""
-        found = Snapshot(values=(change,), revision=self.revision)
+    def publish(self, change: StoredValue) -> None:
+        """Apply a change on all nodes that can reach the store."""
+        snapshot = Snapshot(values=(change,), revision=self.revision)
         for node in self.nodes:
             if node.follows:
-                node.core.store_cache.apply_changes(found, self.timeline.now)
+                node.core.store_cache.apply_changes(snapshot, self.timeline.now)
 
     def read_whole(self, node: LabNode) -> None:
-        """Let a node read everything that stands in the store."""
+        """Let a node read the full content of the store."""
         values = tuple(
             StoredValue(key=key, value=value, revision=self.revision)
             for key, value in self.store.items()
         )
-        found = Snapshot(values=values, revision=self.revision)
-        node.core.store_cache.apply_snapshot(found, self.timeline.now)
+        snapshot = Snapshot(values=values, revision=self.revision)
+        node.core.store_cache.apply_snapshot(snapshot, self.timeline.now)
 
     def open_flow(
         self,
@@ -259,7 +259,7 @@
         port: int = ROUTE_PORT,
         host: str = '',
     ) -> ClientFlow:
-        """Prepare a client's flow; its first request opens it."""
+        """Create a client's flow; its first request opens it."""
         self.ports += 1
         host = host or f'100.64.0.{sum(domain.encode()) % 200 + 1}'
         key = (parse_ipv4(host), self.ports, parse_ipv4(ROUTE_HOST), port)
@@ -273,7 +273,7 @@
         return flow
 
     def receive(self, payload: bytes, _: Address) -> None:
-        """Hand a packet to the client's flow that it is for."""
+        """Deliver a packet to the client flow that it is addressed to."""
         hand_over(self.clients, payload)
 
     def route(
@@ -282,9 +282,12 @@
         payload: bytes,
         flow: tuple[int, int, int, int],
     ) -> None:
-        """Send a packet to a node of the client's domain, by a hash."""
-        near = [node for node in self.nodes if node.domain == domain]
-        living = [node for node in near if node.alive]
+        """Send a packet to a node chosen by the flow's hash.
+
+        Nodes of the client's domain are preferred while any is alive.
+        """
+        local = [node for node in self.nodes if node.domain == domain]
+        living = [node for node in local if node.alive]
         if not living:
             alive = [node for node in self.nodes if node.alive]
             living = alive or self.nodes
@@ -294,7 +297,7 @@
         self.network.send(payload, source, node.address)
 
     def run(self, seconds: float) -> None:
-        """Let time pass, with the store read as often as nodes do."""
+        """Advance the time; nodes that reach the store stay in sync."""
         for _ in range(round(seconds * 10)):
             self.timeline.run(0.1)
             for node in self.nodes:
@@ -302,20 +305,20 @@
                     node.core.progress.synced_at = self.timeline.now - 0.01
 
 
-Put = Callable[[str, bytes], None]
+PutFunction = Callable[[str, bytes], None]
 Row = dict[str, Any]
 
 
 def upstream_host(number: int) -> str:
-    """Return an address of its own for each upstream."""
+    """Return a distinct IPv4 address for each upstream number."""
     third, fourth = divmod(number, HOSTS_PER_NET)
     return (
         f'10.{2 + third // HOSTS_PER_NET}.{third % HOSTS_PER_NET}.{fourth + 1}'
     )
 
 
-def write_entry(put: Put, upstream: LabUpstream, state: str) -> None:
-    """Write an upstream's entry into a store."""
+def write_entry(put: PutFunction, upstream: LabUpstream, state: str) -> None:
+    """Write an upstream's entry with `put`."""
     put(
         UPSTREAMS + upstream.name,
         json.dumps(upstream.entry(state)).encode(),
@@ -323,7 +326,7 @@
 
 
 def idle_routes(count: int, service: str, rng: Random) -> list[Row]:
-    """Return routes that nobody uses, with names that pack badly."""
+    """Return unused routes with random names, which compress badly."""
     return [
         {
             'Name': f'{rng.getrandbits(64):x}',
@@ -340,14 +343,14 @@
 
 
 def write_manifest(
-    put: Put,
+    put: PutFunction,
     version: int,
     routes: dict[int, str],
     cold_per_second: float = 0,
     objectives: Mapping[int, Objective] = NO_OBJECTIVES,
     idle: Sequence[Row] = (),
 ) -> None:
-    """Write a manifest that sends ports to services into a store."""
+    """Write a manifest that routes ports to services with `put`."""
     manifest = {
         'Version': version,
         'Routes': [
