--- a/burdocksill_lab/packets/loopback.py
+++ b/burdocksill_lab/packets/loopback.py
@@ -1,4 +1,4 @@
-"""The packet world on loopback: real nodes, the same clients and upstreams."""
+"""Packet path on loopback: node processes, simulated clients and upstreams."""
 
 import os
 import signal
@@ -29,12 +29,13 @@
 
 STORE_HOST: Final = '127.10.0.1'
 RECEIVE_BYTES: Final = 2048
-# Between two probes of readiness, as the users' routers send them.
+# Interval and timeout of readiness probes, as the users' routers send them.
 PROBE_SECONDS: Final = 0.5
-MISSES: Final = 2
-READY: Final = b'GET /-/ready HTTP/1.1\r\nHost: node\r\n\r\n'
-GOOD: Final = b'HTTP/1.1 200'
-GAP_SECONDS: Final = 0.01
+# Consecutive failed probes after which routers stop sending to a node.
+UNHEALTHY_THRESHOLD: Final = 2
+READY_REQUEST: Final = b'GET /-/ready HTTP/1.1\r\nHost: node\r\n\r\n'
+READY_ANSWER: Final = b'HTTP/1.1 200'
+POLL_SECONDS: Final = 0.01
 START_SECONDS: Final = 20.0
 HEX: Final = 16
 
@@ -47,42 +48,46 @@
 
     @property
     def now(self) -> float:
-        """Return steady seconds."""
+        """Return monotonic seconds."""
         return trio.current_time()
 
     def after(self, seconds: float, action: Callable[[], None]) -> None:
         """Run an action some seconds from now."""
-        self.nursery.start_soon(self.wait, seconds, action)
+        self.nursery.start_soon(self.run_later, seconds, action)
 
-    async def wait(self, seconds: float, action: Callable[[], None]) -> None:
-        """Sleep, then act."""
+    async def run_later(
+        self, seconds: float, action: Callable[[], None]
+    ) -> None:
+        """Sleep, then run the action."""
         await trio.sleep(seconds)
         action()
 
 
 @attrs.define(kw_only=True)
 class LoopbackNetwork:
-    """Carry datagrams over one real socket for each address."""
+    """Network that sends and receives on one UDP socket for each address."""
 
     nursery: trio.Nursery
     sockets: dict[Address, trio.socket.SocketType] = attrs.field(factory=dict)
 
     async def open(self, address: Address, receiver: Receiver) -> None:
-        """Bind an address and hand what arrives there to a receiver."""
-        opened = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
-        await opened.bind(address)
-        self.sockets[address] = opened
-        self.nursery.start_soon(self.receive, opened, receiver)
+        """Bind an address and pass received datagrams to a receiver."""
+        udp_socket = trio.socket.socket(
+            trio.socket.AF_INET, trio.socket.SOCK_DGRAM
+        )
+        await udp_socket.bind(address)
+        self.sockets[address] = udp_socket
+        self.nursery.start_soon(self.receive, udp_socket, receiver)
 
     async def receive(
         self,
-        opened: trio.socket.SocketType,
+        udp_socket: trio.socket.SocketType,
         receiver: Receiver,
     ) -> None:
-        """Hand over one datagram after the other."""
-        with opened:
+        """Pass received datagrams to the receiver until cancelled."""
+        with udp_socket:
             while True:
-                payload, source = await opened.recvfrom(RECEIVE_BYTES)
+                payload, source = await udp_socket.recvfrom(RECEIVE_BYTES)
                 receiver(payload, source)
 
     def send(self, payload: bytes, source: Address, target: Address) -> None:
@@ -92,27 +97,27 @@
 
 @attrs.define(kw_only=True)
 class NodeProcess:
-    """Hold one node's process and what its router believes."""
+    """Process of a node, with the results of the router's probes."""
 
     host: str
     port: int
     folder: Path
     store: Address
     domain: str = 'a'
-    # The module that is run; a broken variant of it stands here in controls.
+    # Module to run, with arguments; control runs use a faulty variant.
     command: tuple[str, ...] = ('burdocksill.packets',)
     process: subprocess.Popen[bytes] | None = None
     misses: int = 0
-    # Probes that found it ready.
+    # Number of successful probes.
     answered: int = 0
 
     @property
     def log_path(self) -> Path:
-        """Return the file of its log lines."""
+        """Return the path of the node's log."""
         return self.folder / f'{self.host}.log'
 
     def start(self) -> None:
-        """Write its settings file and start it."""
+        """Write the settings file and start the process."""
         settings = self.folder / f'{self.host}.conf'
         settings.write_text(self.settings())
         with self.log_path.open('ab') as log:
@@ -124,7 +129,7 @@
             )
 
     def settings(self) -> str:
-        """Return the file that the users' platform would write."""
+        """Return the settings file as the users' platform writes it."""
         return '\n'.join(
             (
                 f'Node=entry-{self.host}',
@@ -145,7 +150,7 @@
             self.process.send_signal(number)
 
     def has_ended(self) -> bool:
-        """Return True when no process runs."""
+        """Return True if the process is not running."""
         return self.process is None or self.process.poll() is not None
 
     def survives_hang_up(self) -> bool:
@@ -167,30 +172,30 @@
             self.process.wait()
 
     async def probe(self) -> None:
-        """Ask for readiness, as routers do."""
-        good = False
+        """Send one readiness probe and record the result."""
+        is_ready = False
         with trio.move_on_after(PROBE_SECONDS):
-            good = await self.ask()
-        self.answered += good
-        self.misses = 0 if good else self.misses + 1
+            is_ready = await self.is_answering_ready()
+        self.answered += is_ready
+        self.misses = 0 if is_ready else self.misses + 1
 
-    async def ask(self) -> bool:
-        """Return True for an answer that says ready."""
+    async def is_answering_ready(self) -> bool:
+        """Return True if the node answers that it is ready."""
         try:
             stream = await trio.open_tcp_stream(self.host, self.port)
             async with stream:
-                await stream.send_all(READY)
+                await stream.send_all(READY_REQUEST)
                 answer = await stream.receive_some(RECEIVE_BYTES)
         except (OSError, trio.BrokenResourceError):
-            # Not started yet, gone, or killed while the probe waited: that is
-            # what a probe is to find out.
+            # The process has not started, has ended, or was killed while the
+            # probe waited: a failed probe, not an error.
             return False
-        return bytes(answer).startswith(GOOD)
+        return bytes(answer).startswith(READY_ANSWER)
 
 
 @attrs.define(kw_only=True)
 class LoopbackDay:
-    """Hold a store, upstreams, routers and clients around real nodes."""
+    """Node processes with a simulated store, upstreams, routers, clients."""
 
     nursery: trio.Nursery
     folder: Path
@@ -205,14 +210,17 @@
     client: Address = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Prepare network and time."""
+        """Create the network and the timeline."""
         self.network = LoopbackNetwork(nursery=self.nursery)
         self.timeline = TrioTimeline(nursery=self.nursery)
-        # All hosts of a day share its port, so that days can run side by side.
+        # All hosts share one port, so that several deployments can run at once.
         self.client = ('127.12.0.1', self.port)
 
     async def start(self, *, nodes: int, upstreams: int) -> None:
-        """Start everything, and wait until all nodes are ready."""
+        """Start store, upstreams and nodes; wait until all nodes are ready.
+
+        Raise ProcessFailedError if they are not ready after START_SECONDS.
+        """
         listeners = await trio.open_tcp_listeners(0, host=STORE_HOST)
         store_port = listeners[0].socket.getsockname()[1]
         self.nursery.start_soon(
@@ -231,7 +239,7 @@
                 port=self.port,
                 folder=self.folder,
                 store=(STORE_HOST, store_port),
-                misses=MISSES,
+                misses=UNHEALTHY_THRESHOLD,
             )
             self.nodes.append(node)
             node.start()
@@ -254,7 +262,7 @@
         write_entry(self.store.put, upstream, 'ready')
 
     async def probe(self) -> None:
-        """Probe all nodes for as long as the day lasts."""
+        """Probe all nodes periodically until cancelled."""
         while True:
             async with trio.open_nursery() as nursery:
                 for node in self.nodes:
@@ -262,11 +270,11 @@
                 await trio.sleep(PROBE_SECONDS)
 
     async def wait_until_ready(self, count: int) -> None:
-        """Wait until so many nodes are in rotation."""
-        for _ in range(round(START_SECONDS / GAP_SECONDS)):
+        """Wait until at least `count` nodes are in rotation."""
+        for _ in range(round(START_SECONDS / POLL_SECONDS)):
             if len(self.in_rotation()) >= count:
                 return
-            await trio.sleep(GAP_SECONDS)
+            await trio.sleep(POLL_SECONDS)
         ready = len(self.in_rotation())
         raise ProcessFailedError(
             message=f'{ready} of {count} nodes are ready',
@@ -274,18 +282,20 @@
         )
 
     async def wait_for_probe(self, node: NodeProcess) -> None:
-        """Wait until the next probe has found a node ready."""
+        """Wait until the next successful probe of a node."""
         answered = node.answered
-        # The probes' task has no event for each of them.
+        # The probing task signals no event, so this polls.
         while node.answered == answered:  # noqa: ASYNC110
-            await trio.sleep(GAP_SECONDS)
+            await trio.sleep(POLL_SECONDS)
 
     def in_rotation(self) -> list[NodeProcess]:
         """Return the nodes that routers send to."""
-        return [node for node in self.nodes if node.misses < MISSES]
+        return [
+            node for node in self.nodes if node.misses < UNHEALTHY_THRESHOLD
+        ]
 
     def open_flows(self, count: int, port: int = ROUTE_PORT) -> None:
-        """Prepare flows; their first requests open them."""
+        """Create client flows; their first requests open them."""
         first = len(self.flows)
         for number in range(first, first + count):
             key = (
@@ -299,17 +309,17 @@
             self.clients[key] = flow
 
     def route(self, payload: bytes, flow: tuple[int, int, int, int]) -> None:
-        """Send a packet to a node in rotation, by a hash."""
+        """Send a packet to a node in rotation, chosen by the flow's hash."""
         nodes = self.in_rotation() or self.nodes
         node = nodes[zlib.crc32(repr(flow).encode()) % len(nodes)]
         self.network.send(payload, self.client, (node.host, node.port))
 
     def receive(self, payload: bytes, _: Address) -> None:
-        """Hand a packet to the client's flow that it is for."""
+        """Deliver a packet to the client flow that it is addressed to."""
         hand_over(self.clients, payload)
 
     async def request_all(self, rounds: int, pause: float) -> None:
-        """Send requests on all flows, some rounds with pauses between."""
+        """Send a request on each idle flow per round, spread over `pause`."""
         for _ in range(rounds):
             for flow in self.flows:
                 if flow.waiting is None and not flow.ended:
@@ -317,13 +327,13 @@
                 await trio.sleep(pause / len(self.flows))
 
     def outcomes(self) -> Counter[Outcome]:
-        """Count how the requests ended."""
+        """Count the requests by outcome."""
         return Counter(
             request.outcome for flow in self.flows for request in flow.requests
         )
 
     def log_lines(self) -> Iterator[str]:
-        """Return the log lines of all nodes."""
+        """Yield the log lines of all nodes."""
         for node in self.nodes:
             yield from node.log_path.read_text().splitlines()
 
--- a/burdocksill_lab/soak/day.py
+++ b/burdocksill_lab/soak/day.py
@@ -13,8 +13,8 @@
 from burdocksill.platform.records import DOMAINS_OUT, UPSTREAMS
 from burdocksill_lab.packets.client import ClientFlow, hand_over
 from burdocksill_lab.packets.loopback import (
-    MISSES,
     PROBE_SECONDS,
+    UNHEALTHY_THRESHOLD,
     LoopbackNetwork,
     NodeProcess,
     TrioTimeline,
@@ -138,7 +138,7 @@
             store=await self.listen(f'127.13.0.{number + 1}', proxy.serve),
             domain=DOMAINS[number % len(DOMAINS)],
             command=self.command,
-            misses=MISSES,
+            misses=UNHEALTHY_THRESHOLD,
         )
         self.nodes.append(SoakNode(process=process, proxy=proxy))
         process.start()
@@ -235,7 +235,9 @@
 
     def are_ready(self) -> bool:
         """Return True when every node is in rotation."""
-        return all(node.process.misses < MISSES for node in self.nodes)
+        return all(
+            node.process.misses < UNHEALTHY_THRESHOLD for node in self.nodes
+        )
 
     def open_flow(self, domain: str, port: int) -> ClientFlow:
         """Prepare a flow; its first request opens it."""
@@ -265,7 +267,9 @@
     ) -> None:
         """Send a packet to a node of the client's domain, by a hash."""
         near = [one for one in self.nodes if one.process.domain == domain]
-        nodes = [one for one in near if one.process.misses < MISSES] or near
+        nodes = [
+            one for one in near if one.process.misses < UNHEALTHY_THRESHOLD
+        ] or near
         node = nodes[zlib.crc32(repr(flow).encode()) % len(nodes)]
         if self.rng.random() < node.lost:
             return
