--- a/burdocksill_lab/packets/client.py
+++ b/burdocksill_lab/packets/client.py
@@ -1,4 +1,4 @@
-"""A client of the packet world, with the repeats of its protocol."""
+"""Simulated client of the packet path, with its retransmissions."""
 
 import enum
 from collections.abc import Callable, Mapping
@@ -18,17 +18,17 @@
 from burdocksill_lab.packets.network import Address, Timeline
 from burdocksill_lab.packets.upstream import REFUSAL_BYTES
 
-COPY_SECONDS: Final = (0.2, 0.4)
-OPENING_SECONDS: Final = 1.4
-FIRST_REPEAT_SECONDS: Final = 0.2
-LONGEST_REPEAT_SECONDS: Final = 1.6
+SYN_RETRANSMIT_SECONDS: Final = (0.2, 0.4)
+OPENING_TIMEOUT_SECONDS: Final = 1.4
+INITIAL_RETRANSMIT_SECONDS: Final = 0.2
+MAX_RETRANSMIT_SECONDS: Final = 1.6
 RESET_WINDOW: Final = 76_800
 REQUEST_BYTES: Final = 200
 FIRST_SEQ: Final = 1_000
 
 
 class Outcome(enum.Enum):
-    """Name what became of a request."""
+    """Result of a request."""
 
     PENDING = 'pending'
     SERVED = 'served'
@@ -40,7 +40,7 @@
 
 @attrs.define(kw_only=True)
 class Request:
-    """Hold one request of a client and how it ended."""
+    """Request of a client, with its times and outcome."""
 
     sent_at: float
     outcome: Outcome = Outcome.PENDING
@@ -50,7 +50,7 @@
 
 @attrs.define(kw_only=True)
 class ClientFlow:
-    """Speak one flow: open it, send requests on it one after the other."""
+    """Client side of one flow; sends one request at a time."""
 
     key: tuple[int, int, int, int]
     timeline: Timeline
@@ -59,18 +59,18 @@
     echo: int = 0
     seq: int = FIRST_SEQ
     ack: int = 0
-    copies: int = 0
+    syn_count: int = 0
     open: bool = False
     ended: bool = False
-    # Whether a reset came that no upstream had sent.
+    # True if a node reset the flow, not an upstream.
     system_reset: bool = False
     waiting: Request | None = None
     requests: list[Request] = attrs.field(factory=list)
-    # Told of each request that has ended.
+    # Called with each request that has ended.
     on_end: Callable[['ClientFlow', Request], None] | None = None
 
     def request(self) -> Request:
-        """Send a request, on this flow if it is open, else open it first."""
+        """Send a request; open the flow first if it is not open."""
         sent = Request(sent_at=self.timeline.now)
         self.requests.append(sent)
         self.waiting = sent
@@ -78,73 +78,75 @@
         if self.ended:
             self.end_request(Outcome.RESET)
         elif self.open:
-            self.send_data(sent, FIRST_REPEAT_SECONDS)
+            self.send_data(sent, INITIAL_RETRANSMIT_SECONDS)
         else:
             self.send_opening()
         return sent
 
     def send_opening(self) -> None:
-        """Send the first packet and its copies."""
+        """Send the opening packet (SYN) and its retransmissions."""
         if self.open or self.ended:
             return
-        self.packet(SYN, ack=self.copies)
-        if self.copies < len(COPY_SECONDS):
-            self.timeline.after(COPY_SECONDS[self.copies], self.send_opening)
-        elif self.copies == len(COPY_SECONDS):
-            rest = OPENING_SECONDS - sum(COPY_SECONDS)
-            self.timeline.after(rest, self.give_up_opening)
-        self.copies += 1
-
-    def give_up_opening(self) -> None:
-        """End the flow if nobody has answered its opening."""
+        self.packet(SYN, ack=self.syn_count)
+        if self.syn_count < len(SYN_RETRANSMIT_SECONDS):
+            self.timeline.after(
+                SYN_RETRANSMIT_SECONDS[self.syn_count], self.send_opening
+            )
+        elif self.syn_count == len(SYN_RETRANSMIT_SECONDS):
+            remaining = OPENING_TIMEOUT_SECONDS - sum(SYN_RETRANSMIT_SECONDS)
+            self.timeline.after(remaining, self.expire_opening)
+        self.syn_count += 1
+
+    def expire_opening(self) -> None:
+        """End the flow if its opening was not answered."""
         if not self.open:
             self.ended = True
             self.end_request(Outcome.NOT_OPENED)
 
     def send_data(self, sent: Request, pause: float) -> None:
-        """Send the request's data, and again until it is acknowledged."""
+        """Send the request's data; retransmit until it is answered."""
         if self.waiting is not sent or self.ended:
             return
         self.packet(ACK, ack=self.ack, length=REQUEST_BYTES)
-        longer = min(pause * 2, LONGEST_REPEAT_SECONDS)
-        self.timeline.after(pause, lambda: self.send_data(sent, longer))
+        next_pause = min(pause * 2, MAX_RETRANSMIT_SECONDS)
+        self.timeline.after(pause, lambda: self.send_data(sent, next_pause))
 
     def receive(self, packet: Packet) -> None:
-        """Take in a packet for this flow."""
+        """Handle a packet that was received for this flow."""
         if self.ended:
             return
         if packet.flags & RST:
-            self.take_reset(packet)
+            self.handle_reset(packet)
             return
         self.echo = packet.echo
         if packet.flags & SYN:
-            self.take_opening(packet)
+            self.handle_opening_answer(packet)
         elif packet.length and packet.seq == self.ack:
-            self.take_answer(packet)
+            self.handle_answer(packet)
 
-    def take_reset(self, packet: Packet) -> None:
-        """End the flow, if the reset lies near what was acknowledged."""
-        ours = packet.checksum == 0
-        near = abs(packet.seq - self.ack) <= RESET_WINDOW
-        if ours and self.open and not near:
+    def handle_reset(self, packet: Packet) -> None:
+        """End the flow, unless a node's reset lies outside the window."""
+        by_node = packet.checksum == 0
+        in_window = abs(packet.seq - self.ack) <= RESET_WINDOW
+        if by_node and self.open and not in_window:
             return
         self.ended = True
-        self.system_reset = ours
+        self.system_reset = by_node
         if self.waiting is not None:
-            self.waiting.system_reset = ours
+            self.waiting.system_reset = by_node
         self.end_request(Outcome.RESET)
 
-    def take_opening(self, packet: Packet) -> None:
-        """Acknowledge the first upstream that answers, with the request."""
+    def handle_opening_answer(self, packet: Packet) -> None:
+        """Send the request to the first upstream that answers the opening."""
         if self.open:
             return
         self.open = True
         self.ack = packet.seq
         if self.waiting is not None:
-            self.send_data(self.waiting, FIRST_REPEAT_SECONDS)
+            self.send_data(self.waiting, INITIAL_RETRANSMIT_SECONDS)
 
-    def take_answer(self, packet: Packet) -> None:
-        """Acknowledge an answer."""
+    def handle_answer(self, packet: Packet) -> None:
+        """Acknowledge an answer and end its request."""
         self.ack = packet.seq + packet.length
         self.seq += REQUEST_BYTES
         self.packet(ACK, ack=self.ack)
@@ -152,19 +154,19 @@
         self.end_request(Outcome.REFUSED if refused else Outcome.SERVED)
 
     def close(self) -> None:
-        """Tell the upstream that nothing more will come."""
+        """Send FIN to the upstream and end the flow."""
         if self.open and not self.ended:
             self.packet(ACK | FIN, ack=self.ack)
         self.ended = True
 
     def expire(self, sent: Request) -> None:
-        """End a request whose deadline has passed."""
+        """End a request and its flow when the deadline has passed."""
         if sent is self.waiting:
             self.end_request(Outcome.LATE)
             self.ended = True
 
     def end_request(self, outcome: Outcome) -> None:
-        """Write down how a request ended."""
+        """Record the outcome of the current request."""
         if self.waiting is not None:
             ended = self.waiting
             ended.outcome = outcome
@@ -174,7 +176,7 @@
                 self.on_end(self, ended)
 
     def packet(self, flags: int, *, ack: int, length: int = 0) -> None:
-        """Send one packet."""
+        """Build and send one packet."""
         client, client_port, address, port = self.key
         head = HEADER.pack(
             length,
@@ -191,12 +193,13 @@
         self.send(with_checksum(head + bytes(length)), self.key)
 
 
-def hand_over(
+def deliver_to_flow(
     flows: Mapping[tuple[int, ...], ClientFlow], payload: bytes
 ) -> None:
-    """Give a packet for clients to the flow that it is for, if that is there.
+    """Deliver a packet to its client flow; drop it if there is none.
 
-    Towards a client the route is the sender, so the pairs stand swapped.
+    In a packet to a client the route is the source, so the address pairs are
+    swapped to form the key.
     """
     packet = Packet(*HEADER.unpack_from(payload))
     key = (packet.address, packet.port, packet.client, packet.client_port)
@@ -205,4 +208,4 @@
         flow.receive(packet)
 
 
-__all__ = ('Address', 'ClientFlow', 'Outcome', 'Request', 'hand_over')
+__all__ = ('Address', 'ClientFlow', 'Outcome', 'Request', 'deliver_to_flow')
--- a/burdocksill_lab/packets/loopback.py
+++ b/burdocksill_lab/packets/loopback.py
@@ -15,7 +15,7 @@
 
 from burdocksill.packets.header import parse_ipv4
 from burdocksill.platform.early import VARIABLE
-from burdocksill_lab.packets.client import ClientFlow, Outcome, hand_over
+from burdocksill_lab.packets.client import ClientFlow, Outcome, deliver_to_flow
 from burdocksill_lab.packets.network import Address, Receiver
 from burdocksill_lab.packets.store import LabStore
 from burdocksill_lab.packets.upstream import LabUpstream
@@ -316,7 +316,7 @@
 
     def receive(self, payload: bytes, _: Address) -> None:
         """Deliver a packet to the client flow that it is addressed to."""
-        hand_over(self.clients, payload)
+        deliver_to_flow(self.clients, payload)
 
     async def request_all(self, rounds: int, pause: float) -> None:
         """Send a request on each idle flow per round, spread over `pause`."""
--- a/burdocksill_lab/packets/world.py
+++ b/burdocksill_lab/packets/world.py
@@ -21,7 +21,7 @@
     RecordDecoder,
 )
 from burdocksill.platform.values import Snapshot, StoredValue
-from burdocksill_lab.packets.client import ClientFlow, hand_over
+from burdocksill_lab.packets.client import ClientFlow, deliver_to_flow
 from burdocksill_lab.packets.network import (
     Address,
     DatagramNetwork,
@@ -274,7 +274,7 @@
 
     def receive(self, payload: bytes, _: Address) -> None:
         """Deliver a packet to the client flow that it is addressed to."""
-        hand_over(self.clients, payload)
+        deliver_to_flow(self.clients, payload)
 
     def route(
         self,
--- a/burdocksill_lab/soak/day.py
+++ b/burdocksill_lab/soak/day.py
@@ -11,7 +11,7 @@
 
 from burdocksill.packets.header import FIN, parse_ipv4
 from burdocksill.platform.records import DOMAINS_OUT, UPSTREAMS
-from burdocksill_lab.packets.client import ClientFlow, hand_over
+from burdocksill_lab.packets.client import ClientFlow, deliver_to_flow
 from burdocksill_lab.packets.loopback import (
     PROBE_SECONDS,
     UNHEALTHY_THRESHOLD,
@@ -281,7 +281,7 @@
 
     def receive(self, payload: bytes, _: Address) -> None:
         """Hand a packet to the client's flow that it is for."""
-        hand_over(self.flows, payload)
+        deliver_to_flow(self.flows, payload)
 
     async def use(self, domain: str, port: int, *, long: bool) -> None:
         """Send requests for ever: on one flow while it lives, or each anew."""
