--- a/burdocksill_lab/packets/upstream.py
+++ b/burdocksill_lab/packets/upstream.py
@@ -1,4 +1,4 @@
-"""An upstream of the packet world: one process with slots and a queue."""
+"""Simulated upstream of the packet path: a process with slots and a queue."""
 
 import enum
 import itertools
@@ -24,25 +24,25 @@
 from burdocksill_lab.packets.network import Address, Network, Timeline
 
 ANSWER_BYTES: Final = 100
-# What a full upstream answers with, instead of running a request.
+# Size of the answer with which a full upstream refuses a request.
 REFUSAL_BYTES: Final = 40
 FIRST_SEQ: Final = 5_000
-NUMBERS: Final = itertools.count(1)
+NAME_NUMBERS: Final = itertools.count(1)
 
 
 class Condition(enum.Enum):
-    """Name what is wrong with an upstream."""
+    """Fault that is injected into an upstream."""
 
     WELL = 'well'
-    # Its process or its link is gone: nothing comes back.
+    # The process or its link is down: nothing is answered.
     DARK = 'dark'
-    # Its process is gone, and its host answers for it.
+    # The process has ended; its host answers each packet with a reset.
     REFUSING = 'refusing'
 
 
 @attrs.define(kw_only=True)
-class HeldFlow:
-    """Hold what an upstream knows of one flow."""
+class FlowState:
+    """State of one flow on an upstream."""
 
     echo: int
     seq: int = FIRST_SEQ
@@ -52,7 +52,7 @@
 
 @attrs.define(kw_only=True)
 class LabUpstream:
-    """Answer each request with one packet after its work."""
+    """Upstream that answers each request with one packet."""
 
     name: str
     address: Address
@@ -63,61 +63,61 @@
     client_port: int
     slots: int = 2
     work_seconds: float = 0.02
-    # How many requests may wait; the rest are refused. None: any number.
+    # Maximum number of queued requests, more are refused; None is unlimited.
     queue_limit: int | None = None
-    # Draws how many times as long as usual a request takes.
+    # Draws the factor by which `work_seconds` is multiplied for a request.
     unevenness: Callable[[], float] = lambda: 1.0
     condition: Condition = Condition.WELL
-    flows: dict[tuple[int, ...], HeldFlow] = attrs.field(factory=dict)
-    queue: deque[tuple[Packet, HeldFlow]] = attrs.field(factory=deque)
+    flows: dict[tuple[int, ...], FlowState] = attrs.field(factory=dict)
+    queue: deque[tuple[Packet, FlowState]] = attrs.field(factory=deque)
     running: int = 0
-    # Opening packets that were taken, with their times.
+    # Times at which opening packets were received.
     opened: list[float] = attrs.field(factory=list)
-    # Told of each packet that opens a flow here.
+    # Called with each packet that opens a flow.
     on_open: Callable[['LabUpstream', Packet], None] | None = None
-    # Packets that were not as their sender wrote them.
+    # Number of packets received with a wrong checksum.
     altered: int = 0
     ran: int = 0
     refused: int = 0
 
     @property
     def tag(self) -> int:
-        """Return the number that its name writes in hex."""
+        """Return the number in the name's hexadecimal part."""
         return int(self.name.rpartition('-')[2], 16)
 
     def receive(self, payload: bytes, _: Address) -> None:
-        """Take a datagram that is marked for this process."""
+        """Handle a datagram whose tag names this process or is 0."""
         tag = TAG.unpack_from(payload)[0]
         if self.condition is Condition.DARK or tag not in {0, self.tag}:
             return
         packet = Packet(*HEADER.unpack_from(payload, TAG.size))
         self.altered += not is_intact(payload[TAG.size :])
         if self.condition is Condition.REFUSING:
-            self.refuse(packet)
+            self.answer_with_reset(packet)
         elif packet.is_syn:
             self.open(packet)
         else:
-            self.carry_on(packet)
+            self.handle_flow_packet(packet)
 
-    def refuse(self, packet: Packet) -> None:
-        """Answer as a host does whose process is gone."""
+    def answer_with_reset(self, packet: Packet) -> None:
+        """Answer with a reset, as a host without the process does."""
         if packet.is_syn:
             self.opened.append(self.timeline.now)
-        self.answer(packet, HeldFlow(echo=packet.echo), RST)
+        self.answer(packet, FlowState(echo=packet.echo), RST)
 
-    def carry_on(self, packet: Packet) -> None:
-        """Take a packet of an open flow."""
+    def handle_flow_packet(self, packet: Packet) -> None:
+        """Handle a packet that is not an opening; reset an unknown flow."""
         flow = self.flows.get(packet.flow)
         if flow is None:
-            self.answer(packet, HeldFlow(echo=packet.echo), RST)
+            self.answer(packet, FlowState(echo=packet.echo), RST)
         elif packet.flags & (FIN | RST):
             del self.flows[packet.flow]
         elif packet.length:
-            self.take(packet, flow)
+            self.handle_request(packet, flow)
 
     def open(self, packet: Packet) -> None:
-        """Answer an opening."""
-        flow = HeldFlow(echo=packet.echo, expected=packet.seq)
+        """Open a flow and answer its opening."""
+        flow = FlowState(echo=packet.echo, expected=packet.seq)
         if packet.flow not in self.flows:
             self.opened.append(self.timeline.now)
             if self.on_open is not None:
@@ -125,8 +125,8 @@
         self.flows[packet.flow] = flow
         self.answer(packet, flow, SYN | ACK)
 
-    def take(self, packet: Packet, flow: HeldFlow) -> None:
-        """Queue a request, or acknowledge one that was sent again."""
+    def handle_request(self, packet: Packet, flow: FlowState) -> None:
+        """Queue or refuse a request; acknowledge a retransmitted one."""
         if packet.seq < flow.expected:
             self.answer(packet, flow, ACK)
             return
@@ -137,34 +137,34 @@
             flow.seq += REFUSAL_BYTES
             return
         self.queue.append((packet, flow))
-        self.work()
+        self.start_queued()
 
-    def work(self) -> None:
-        """Begin to run what waits while slots are free."""
+    def start_queued(self) -> None:
+        """Start queued requests while slots are free."""
         while self.queue and self.running < self.slots:
             self.running += 1
             finish = partial(self.finish, *self.queue.popleft())
             seconds = self.work_seconds * self.unevenness()
             self.timeline.after(seconds, finish)
 
-    def finish(self, packet: Packet, flow: HeldFlow) -> None:
-        """Send the answer of a request."""
+    def finish(self, packet: Packet, flow: FlowState) -> None:
+        """Send the answer of a request; free its slot."""
         self.running -= 1
         if self.condition is not Condition.WELL:
             return
         self.ran += 1
         self.answer(packet, flow, ACK, ANSWER_BYTES)
         flow.seq += ANSWER_BYTES
-        self.work()
+        self.start_queued()
 
     def answer(
         self,
         packet: Packet,
-        flow: HeldFlow,
+        flow: FlowState,
         flags: int,
         length: int = 0,
     ) -> None:
-        """Send a packet straight to the client."""
+        """Send a packet to the client directly, not through a node."""
         head = HEADER.pack(
             length,
             flow.echo,
@@ -182,12 +182,12 @@
         self.network.send(payload, self.address, target)
 
     def restart(self) -> None:
-        """Lose all flows, as a process does that is started anew."""
+        """Drop all flows and queued requests, as a restart does."""
         self.flows.clear()
         self.queue.clear()
 
     def entry(self, state: str, born: int = 1) -> dict[str, object]:
-        """Return what it registers of itself."""
+        """Return its registration in the form of the store's JSON."""
         return {
             'Service': self.service,
             'Address': f'{self.address[0]}:{self.address[1]}',
@@ -202,9 +202,10 @@
 
 
 def names(prefix: str) -> Iterator[str]:
-    """Return fresh names of upstreams."""
+    """Yield names that no other upstream of this process has."""
     return (
-        f'{prefix}-{number * 2654435761 % 2**40:010x}' for number in NUMBERS
+        f'{prefix}-{number * 2654435761 % 2**40:010x}'
+        for number in NAME_NUMBERS
     )
 
 
