--- a/burdocksill_lab/packets/load.py
+++ b/burdocksill_lab/packets/load.py
@@ -1,4 +1,4 @@
-"""Open-loop load of a packet world: callers that keep flows and try again."""
+"""Open-loop load on a packet simulation, with idle flows and retries."""
 
 import math
 from collections import Counter
@@ -10,20 +10,20 @@
 from burdocksill_lab.packets.client import ClientFlow, Outcome, Request
 from burdocksill_lab.packets.world import ROUTE_PORT, PacketWorld
 
-# Callers' further tries, and the pause before the first of them.
-MOST_TRIES: Final = 3
-FIRST_PAUSE_SECONDS: Final = 0.1
-# Each comes from an address of its own, as behind no shared gateway.
+# Attempts per call, and the backoff before the first retry.
+MAX_ATTEMPTS: Final = 3
+INITIAL_BACKOFF_SECONDS: Final = 0.1
+# Number of client addresses per domain, one per caller without a gateway.
 ADDRESSES: Final = 200
 
 
 @attrs.define(kw_only=True)
 class Call:
-    """Hold what became of one call through all of its tries."""
+    """One call with the results of all its attempts."""
 
     asked_at: float
     tries: int = 0
-    # Tries that a node ended, and that an upstream refused to run.
+    # Attempts that a node reset, and attempts that an upstream refused.
     ended_by_node: int = 0
     refused: int = 0
     served_at: float | None = None
@@ -31,7 +31,7 @@
 
     @property
     def seconds(self) -> float:
-        """Return what it took; infinite when it was never served."""
+        """Return the duration in seconds; infinite if it was never served."""
         return (
             math.inf
             if self.served_at is None
@@ -41,54 +41,56 @@
 
 @attrs.define(kw_only=True)
 class Callers:
-    """Call in one failure domain at a rate that does not wait for answers."""
+    """Open-loop callers of one failure domain and port."""
 
     world: PacketWorld
     domain: str
-    # Calls a second, by the time since the start.
+    # Calls per second, as a function of the seconds since the start.
     rate: Callable[[float], float]
     port: int = ROUTE_PORT
     deadline_seconds: float = 4.0
-    # Flows that are kept for later calls; 0: each call opens one of its own.
+    # Maximum number of idle flows to keep; with 0 each call opens a new flow.
     most_idle: int = 10
-    # True: so many callers have one each, and any of them is the next to call.
+    # True: pick one of `most_idle` slots at random; False: the last idle flow.
     alike: bool = False
-    # Before the second try.
-    pause_seconds: float = FIRST_PAUSE_SECONDS
+    # Backoff before the first retry.
+    pause_seconds: float = INITIAL_BACKOFF_SECONDS
     idle: list[ClientFlow] = attrs.field(factory=list)
     calls: list[Call] = attrs.field(factory=list)
     started_at: float = 0
     stopped: bool = False
 
     def start(self) -> None:
-        """Begin to call."""
+        """Start calling."""
         self.started_at = self.world.timeline.now
-        self.wait_for_next()
+        self.schedule_next()
 
-    def wait_for_next(self) -> None:
-        """Draw when the next call comes."""
+    def schedule_next(self) -> None:
+        """Schedule the next call; arrivals are a Poisson process."""
         rate = self.rate(self.world.timeline.now - self.started_at)
-        pause = self.world.rng.expovariate(rate)
-        self.world.timeline.after(pause, self.call)
+        delay = self.world.rng.expovariate(rate)
+        self.world.timeline.after(delay, self.call)
 
     def call(self) -> None:
-        """Make a call, and let the next one come."""
+        """Make a call and schedule the next one."""
         if self.stopped:
             return
         call = Call(asked_at=self.world.timeline.now)
         self.calls.append(call)
         self.attempt(call)
-        self.wait_for_next()
+        self.schedule_next()
 
     def attempt(self, call: Call) -> None:
-        """Send a call on an idle flow, else on a new one."""
+        """Send a call on an idle flow, or on a new one if there is none."""
         call.tries += 1
-        flow = self.take_flow()
-        flow.on_end = lambda ended, request: self.ended(call, ended, request)
+        flow = self.get_flow()
+        flow.on_end = lambda ended, request: self.handle_end(
+            call, ended, request
+        )
         flow.request()
 
-    def take_flow(self) -> ClientFlow:
-        """Return a flow on which no call waits."""
+    def get_flow(self) -> ClientFlow:
+        """Return an idle flow that is still open, or a new flow."""
         while self.idle:
             number = self.next_idle()
             if number >= len(self.idle):
@@ -107,41 +109,46 @@
         return flow
 
     def next_idle(self) -> int:
-        """Return which idle flow is used; one that isn't there: a new one."""
+        """Return the index of the idle flow to use.
+
+        An index out of range asks for a new flow.
+        """
         if self.alike:
             return self.world.rng.randrange(self.most_idle)
         return len(self.idle) - 1
 
-    def keep(self, flow: ClientFlow) -> None:
-        """Keep a flow for the next call, or close it."""
+    def keep_flow(self, flow: ClientFlow) -> None:
+        """Keep a flow for later calls, or close it if there are enough."""
         if len(self.idle) < self.most_idle:
             self.idle.append(flow)
         else:
             flow.close()
 
-    def ended(self, call: Call, flow: ClientFlow, request: Request) -> None:
-        """Take note of how a try ended, and try again where that may help."""
+    def handle_end(
+        self, call: Call, flow: ClientFlow, request: Request
+    ) -> None:
+        """Record the result of an attempt; retry after a backoff if allowed."""
         call.ended_by_node += request.system_reset
         if request.outcome is Outcome.SERVED:
             call.served_at = self.world.timeline.now
             call.over = True
-            self.keep(flow)
+            self.keep_flow(flow)
             return
         flow.close()
         call.refused += request.outcome is Outcome.REFUSED
-        if request.outcome is Outcome.LATE or call.tries == MOST_TRIES:
+        if request.outcome is Outcome.LATE or call.tries == MAX_ATTEMPTS:
             call.over = True
             return
-        pause = self.pause_seconds * 2 ** (call.tries - 1)
+        delay = self.pause_seconds * 2 ** (call.tries - 1)
         self.world.timeline.after(
-            pause * (1 + self.world.rng.random()),
+            delay * (1 + self.world.rng.random()),
             lambda: self.attempt(call),
         )
 
 
 @attrs.frozen(kw_only=True)
 class Served:
-    """Count what callers got."""
+    """Counts of calls by result."""
 
     asked: int
     in_time: int
@@ -151,12 +158,12 @@
 
     @property
     def in_time_share(self) -> float:
-        """Return the part of the calls that was answered in time."""
+        """Return the fraction of the calls that was answered in time."""
         return self.in_time / max(1, self.asked)
 
     @property
     def never_share(self) -> float:
-        """Return the part of the calls that was never served."""
+        """Return the fraction of the calls that was never served."""
         return self.never / max(1, self.asked)
 
 
@@ -164,7 +171,7 @@
     calls: list[Call],
     objective_seconds: float,
 ) -> Served:
-    """Count what became of calls that are over."""
+    """Count calls by result, against a latency objective."""
     in_time = sum(call.seconds <= objective_seconds for call in calls)
     never = sum(call.served_at is None for call in calls)
     return Served(
