--- a/burdocksill_lab/packets/deployment.py
+++ b/burdocksill_lab/packets/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment under load: domains, callers of two kinds, a burst."""
+"""Simulated deployment under a burst of load, with two kinds of callers."""
 
 from collections.abc import Callable, Iterable
 from types import MappingProxyType
@@ -21,61 +21,61 @@
         OFFER_PORT: Objective(seconds=0.3, priority=1),
     },
 )
-OFFER_SHARE: Final = 0.22
+OFFER_FRACTION: Final = 0.22
 WORK_SECONDS: Final = 0.055
-# The logarithm of a request's work spreads by this, around a mean of one.
-SPREAD: Final = 0.5
+# Standard deviation of the logarithm of a request's work factor (mean 1).
+WORK_SIGMA: Final = 0.5
 QUEUE_LIMIT: Final = 16
 CALM_SECONDS: Final = 3.0
-# After the burst: callers' last tries and deadlines.
+# Time after the run in which the last retries and deadlines end.
 SETTLE_SECONDS: Final = 6.0
 SLICE_SECONDS: Final = 0.5
 SAMPLE_SECONDS: Final = 0.05
 
 
 @attrs.frozen(kw_only=True)
-class Wave:
-    """Hold which parts of the capacity are called for, over time."""
+class LoadProfile:
+    """Load over time as a fraction of the capacity: calm, burst, calm."""
 
     calm: float
     burst: float
     seconds: float
 
     def at(self, now: float) -> float:
-        """Return the part at a time since the start."""
+        """Return the fraction at a time in seconds since the start."""
         in_burst = 0 <= now - CALM_SECONDS < self.seconds
         return self.burst if in_burst else self.calm
 
-    def times(self, rate: float) -> Rate:
-        """Return calls a second over time, for those at full capacity."""
+    def scale(self, rate: float) -> Rate:
+        """Return the rate over time, given the rate at full capacity."""
         return lambda now: rate * self.at(now)
 
 
 class UnlimitedLimiter(ConcurrencyLimiter):
-    """Admit every flow, as a node without admission does."""
+    """Baseline without admission control: admits every flow."""
 
     __slots__ = ()
 
     def limit_for(self, urgency: int) -> float:
-        """Return that there is room for any number."""
+        """Return an infinite limit."""
         return float('inf')
 
 
 @attrs.define(kw_only=True)
 class LoadedDeployment:
-    """Play calm, a burst of load, and what follows."""
+    """Deployment that runs a calm phase, a burst of load, and a calm phase."""
 
     world: PacketWorld
     domains: int = 3
     nodes: int = 2
     upstreams: int = 3
     slots: int = 4
-    # False is the control.
+    # False for the control run without admission control.
     admission: bool = True
     callers: list[Callers] = attrs.field(factory=list)
     began_at: float = 0
     burst_seconds: float = 0
-    # Requests on each upstream, at the times of the samples.
+    # Sample times and the number of requests on each upstream.
     samples: list[tuple[float, list[int]]] = attrs.field(factory=list)
 
     def build(self) -> None:
@@ -96,36 +96,36 @@
                 self.add_upstream(f'd{number}')
 
     def add_upstream(self, domain: str) -> LabUpstream:
-        """Start an upstream whose requests take unequal times."""
+        """Start an upstream whose work per request varies."""
         return self.world.add_upstream(
             domain,
             slots=self.slots,
             work_seconds=WORK_SECONDS,
             queue_limit=QUEUE_LIMIT,
-            unevenness=self.unevenness,
+            draw_work_factor=self.draw_work_factor,
         )
 
-    def unevenness(self) -> float:
-        """Draw how many times as long as usual a request takes."""
-        return self.world.rng.lognormvariate(-(SPREAD**2) / 2, SPREAD)
+    def draw_work_factor(self) -> float:
+        """Draw the work factor of a request: log-normal with mean 1."""
+        return self.world.rng.lognormvariate(-(WORK_SIGMA**2) / 2, WORK_SIGMA)
 
     @property
     def capacity(self) -> float:
-        """Return the requests a second that all slots can run."""
+        """Return the requests per second that all slots together can run."""
         upstreams = self.domains * self.upstreams
         return upstreams * self.slots / WORK_SECONDS
 
     def play(self, calm: float, burst: float, seconds: float) -> None:
-        """Call at parts of the capacity: calm, a burst, calm again."""
+        """Run calls at fractions of the capacity: calm, burst, calm."""
         self.began_at = self.world.timeline.now
         self.burst_seconds = seconds
-        wave = Wave(calm=calm, burst=burst, seconds=seconds)
+        profile = LoadProfile(calm=calm, burst=burst, seconds=seconds)
         part = self.capacity / self.domains
         for number in range(self.domains):
-            feeds = part * (1 - OFFER_SHARE)
-            self.call(f'd{number}', FEED_PORT, wave.times(feeds))
-            offers = part * OFFER_SHARE
-            self.call(f'd{number}', OFFER_PORT, wave.times(offers))
+            feeds = part * (1 - OFFER_FRACTION)
+            self.call(f'd{number}', FEED_PORT, profile.scale(feeds))
+            offers = part * OFFER_FRACTION
+            self.call(f'd{number}', OFFER_PORT, profile.scale(offers))
         self.sample()
         self.world.run(2 * CALM_SECONDS + seconds)
         for one in self.callers:
@@ -133,24 +133,27 @@
         self.world.run(SETTLE_SECONDS)
 
     def sample(self) -> None:
-        """Note the requests on each upstream, and go on to do so."""
+        """Record the requests on each upstream and schedule the next sample."""
         timeline = self.world.timeline
-        on_each = [
+        request_counts = [
             one.running + len(one.queue)
             for one in self.world.upstreams.values()
         ]
-        self.samples.append((timeline.now - self.began_at, on_each))
+        self.samples.append((timeline.now - self.began_at, request_counts))
         timeline.after(SAMPLE_SECONDS, self.sample)
 
     def imbalance(self, begin: float, end: float) -> float:
-        """Return the busiest upstream's requests over the mean, by time."""
+        """Return the busiest upstream's requests divided by the mean.
+
+        Averages over the samples between two times since the start.
+        """
         found = [each for at, each in self.samples if begin <= at < end]
         totals = [sum(column) for column in zip(*found, strict=True)]
         mean = sum(totals) / len(totals)
         return float(max(totals) / max(1, mean))
 
     def call(self, domain: str, port: int, rate: Rate) -> None:
-        """Let callers of one kind and domain begin."""
+        """Start the callers of one domain and port."""
         callers = Callers(
             world=self.world,
             domain=domain,
@@ -167,7 +170,7 @@
         port: int | None = None,
         domain: str | None = None,
     ) -> list[Call]:
-        """Return the calls that were made between two times of the play."""
+        """Return the calls made between two times since the start."""
         return [
             call
             for one in self.callers
@@ -177,7 +180,7 @@
         ]
 
     def in_burst(self, port: int, domain: str | None = None) -> Served:
-        """Count what callers of a kind got whose calls fell into the burst."""
+        """Count the results of the calls made to a port during the burst."""
         end = CALM_SECONDS + self.burst_seconds
         return count_served(
             self.calls(CALM_SECONDS, end, port, domain),
@@ -185,11 +188,11 @@
         )
 
     def refused_in(self, begin: float, end: float) -> int:
-        """Count the tries that nodes ended, of calls between two times."""
+        """Count the attempts that nodes reset, of calls between two times."""
         return sum(call.ended_by_node for call in self.calls(begin, end))
 
     def refused_shares(self) -> list[float]:
-        """Return the part of the calls that met a refusal, by time."""
+        """Return the fraction of calls that nodes refused, per time slice."""
         slices = range(
             round(CALM_SECONDS / SLICE_SECONDS) + 2,
             round((CALM_SECONDS + self.burst_seconds) / SLICE_SECONDS),
@@ -203,6 +206,6 @@
 
 
 def share_refused(calls: Iterable[Call]) -> float:
-    """Return the part of some calls of which a node refused a try."""
+    """Return the fraction of calls of which a node reset an attempt."""
     found = [call.ended_by_node > 0 for call in calls]
     return sum(found) / max(1, len(found))
--- a/burdocksill_lab/packets/upstream.py
+++ b/burdocksill_lab/packets/upstream.py
@@ -66,7 +66,7 @@
     # Maximum number of queued requests, more are refused; None is unlimited.
     queue_limit: int | None = None
     # Draws the factor by which `work_seconds` is multiplied for a request.
-    unevenness: Callable[[], float] = lambda: 1.0
+    draw_work_factor: Callable[[], float] = lambda: 1.0
     condition: Condition = Condition.WELL
     flows: dict[tuple[int, ...], FlowState] = attrs.field(factory=dict)
     queue: deque[tuple[Packet, FlowState]] = attrs.field(factory=deque)
@@ -144,7 +144,7 @@
         while self.queue and self.running < self.slots:
             self.running += 1
             finish = partial(self.finish, *self.queue.popleft())
-            seconds = self.work_seconds * self.unevenness()
+            seconds = self.work_seconds * self.draw_work_factor()
             self.timeline.after(seconds, finish)
 
     def finish(self, packet: Packet, flow: FlowState) -> None:
