--- a/burdocksill_lab/packets/loopback.py
+++ b/burdocksill_lab/packets/loopback.py
@@ -52,7 +52,7 @@
         return trio.current_time()
 
     def after(self, seconds: float, action: Callable[[], None]) -> None:
-        """Run an action some seconds from now."""
+        """Run an action after a delay in seconds."""
         self.nursery.start_soon(self.run_later, seconds, action)
 
     async def run_later(
--- a/burdocksill_lab/packets/network.py
+++ b/burdocksill_lab/packets/network.py
@@ -1,4 +1,4 @@
-"""Virtual time and datagrams between the parts of a packet world."""
+"""Virtual time and an in-memory datagram network for packet simulations."""
 
 import heapq
 import itertools
@@ -8,25 +8,25 @@
 
 import attrs
 
-# One way between any two parts, in seconds.
+# One-way delay between any two hosts.
 DELAY_SECONDS: Final = 0.001
 Address = tuple[str, int]
 Receiver = Callable[[bytes, Address], None]
 
 
 class Timeline(Protocol):
-    """Tell the time, and act later."""
+    """Clock and scheduler of callbacks."""
 
     @property
     def now(self) -> float:
-        """Return steady seconds."""
+        """Return monotonic seconds."""
 
     def after(self, seconds: float, action: Callable[[], None]) -> None:
-        """Run an action some seconds from now."""
+        """Run an action after a delay in seconds."""
 
 
 class Network(Protocol):
-    """Carry datagrams."""
+    """Network that sends datagrams."""
 
     def send(self, payload: bytes, source: Address, target: Address) -> None:
         """Send a datagram from an address of this process."""
@@ -34,7 +34,7 @@
 
 @attrs.define(kw_only=True)
 class VirtualTimeline:
-    """Run callbacks in the order of their virtual times."""
+    """Scheduler that runs callbacks in the order of their virtual times."""
 
     now: float = 100.0
     queue: list[tuple[float, int, Callable[[], None]]] = attrs.field(
@@ -43,12 +43,12 @@
     numbers: Iterator[int] = attrs.field(factory=itertools.count)
 
     def after(self, seconds: float, action: Callable[[], None]) -> None:
-        """Run an action some seconds from now."""
+        """Run an action after a delay in seconds."""
         entry = (self.now + seconds, next(self.numbers), action)
         heapq.heappush(self.queue, entry)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time and run the callbacks that fall due."""
         until = self.now + seconds
         while self.queue and self.queue[0][0] <= until:
             due, _, action = heapq.heappop(self.queue)
@@ -59,34 +59,34 @@
 
 @attrs.define(kw_only=True)
 class AheadTimeline:
-    """Run callbacks at the right times under a clock that is ahead."""
+    """Timeline whose clock is ahead by a constant; delays are unchanged."""
 
     timeline: Timeline
     ahead_seconds: float
 
     @property
     def now(self) -> float:
-        """Return steady seconds."""
+        """Return monotonic seconds."""
         return self.timeline.now + self.ahead_seconds
 
     def after(self, seconds: float, action: Callable[[], None]) -> None:
-        """Run an action some seconds from now."""
+        """Run an action after a delay in seconds."""
         self.timeline.after(seconds, action)
 
 
 @attrs.define(kw_only=True)
 class DatagramNetwork:
-    """Carry datagrams to whoever holds an address; cuts drop them."""
+    """In-memory network with a constant delay, partitions and loss."""
 
     timeline: VirtualTimeline
     receivers: dict[Address, Receiver] = attrs.field(factory=dict)
-    # Pairs of hosts that don't reach each other.
+    # Pairs of hosts that cannot reach each other.
     cuts: set[frozenset[str]] = attrs.field(factory=set)
-    # Tells for each datagram whether it is lost on its way.
+    # Called for each datagram; True drops it.
     loses: Callable[[], bool] = bool
 
     def send(self, payload: bytes, source: Address, target: Address) -> None:
-        """Deliver a datagram after the delay, if anything is there."""
+        """Deliver a datagram after the delay, unless it is dropped."""
         if frozenset((source[0], target[0])) in self.cuts or self.loses():
             return
         self.timeline.after(
@@ -95,7 +95,7 @@
         )
 
     def deliver(self, payload: bytes, source: Address, target: Address) -> None:
-        """Hand a datagram over."""
+        """Pass a datagram to its receiver; drop it if there is none."""
         receiver = self.receivers.get(target)
         if receiver is not None:
             receiver(payload, source)
@@ -103,14 +103,14 @@
 
 @attrs.define(kw_only=True)
 class MemorySocket:
-    """Stand for the socket of a node."""
+    """Fake of a node's non-blocking UDP socket."""
 
     network: DatagramNetwork
     address: Address
     inbox: deque[bytes] = attrs.field(factory=deque)
 
     def recv(self, size: int) -> bytes:
-        """Return the next datagram, cut to a size."""
+        """Return the next datagram, truncated; BlockingIOError if none."""
         if not self.inbox:
             raise BlockingIOError
         return self.inbox.popleft()[:size]
@@ -121,5 +121,5 @@
         return len(payload)
 
     def __getattr__(self, name: str) -> Any:
-        """Refuse what a node must not need of its socket."""
+        """Raise AttributeError for a method that nodes must not use."""
         raise AttributeError(name)
