--- a/burdocksill_lab/packets/outage.py
+++ b/burdocksill_lab/packets/outage.py
@@ -1,4 +1,4 @@
-"""A deployment of which whole failure domains lose their upstreams."""
+"""Simulated deployment whose failure domains lose all their upstreams."""
 
 from collections.abc import Callable, Iterable
 from typing import Final
@@ -15,42 +15,42 @@
 OBJECTIVE_SECONDS: Final = 0.4
 CALM_SECONDS: Final = 3.0
 SETTLE_SECONDS: Final = 4.0
-# Clients that are refused try again at once.
+# Clients that are refused retry almost at once.
 RETRY_SECONDS: Final = 0.002
-# What a call to the store takes, and when it is given up.
+# Duration of a successful call to the store, and timeout of a failed one.
 ANSWER_SECONDS: Final = 0.004
-SILENCE_SECONDS: Final = 0.35
+TIMEOUT_SECONDS: Final = 0.35
 
 
-class BlindOutages(DomainOutageDetector):
-    """Draw no conclusion from missed openings, as a control."""
+class NoOutageDetector(DomainOutageDetector):
+    """Baseline that suspects no upstream after unanswered openings."""
 
     __slots__ = ()
 
     def is_upstream_suspected(self, *_: object) -> bool:
-        """Return that nothing speaks against any upstream."""
+        """Return False for every upstream."""
         return False
 
 
 @attrs.define(kw_only=True)
 class LabStoreProbe:
-    """Ask a store whether it can be reached, for one node."""
+    """Probe of the store's reachability from one node."""
 
     node: LabNode
-    # Tells whether the store answers now.
+    # Returns True while the store answers.
     answers: Callable[[], bool]
-    under_way: bool = False
-
-    def suspect(self) -> None:
-        """Ask, unless that is under way."""
-        if not self.under_way:
-            self.under_way = True
-            wait = ANSWER_SECONDS if self.answers() else SILENCE_SECONDS
-            self.node.timeline.after(wait, self.conclude)
-
-    def conclude(self) -> None:
-        """Tell the node what was found."""
-        self.under_way = False
+    in_progress: bool = False
+
+    def start_probe(self) -> None:
+        """Start a probe, unless one is in progress."""
+        if not self.in_progress:
+            self.in_progress = True
+            wait = ANSWER_SECONDS if self.answers() else TIMEOUT_SECONDS
+            self.node.timeline.after(wait, self.report_result)
+
+    def report_result(self) -> None:
+        """Report the result of the probe to the node."""
+        self.in_progress = False
         isolation = self.node.core.updater.placer.isolation
         if self.answers():
             isolation.record_store_answer()
@@ -60,31 +60,31 @@
 
 @attrs.define(kw_only=True)
 class OutageDeployment:
-    """Hold nodes, upstreams and callers of several failure domains."""
+    """Nodes, upstreams and callers of several failure domains."""
 
     world: PacketWorld
     domains: int
     nodes: int
     upstreams: int
-    # Calls a second in each domain.
+    # Calls per second in each domain.
     rate: float
-    # False is the control.
+    # False for the control run without outage detection.
     sees_outages: bool = True
-    # False: each node knows what it saw itself, and no more.
+    # False: nodes use only their own observations.
     shares: bool = True
-    # Flows that callers of a domain keep for later calls.
+    # Maximum number of idle flows that the callers of a domain keep.
     kept_flows: int = 10
-    # True: callers use them all alike, so that some are idle for long.
+    # True: callers pick idle flows at random, so that some are idle for long.
     alike: bool = False
     callers: list[Callers] = attrs.field(factory=list)
     peers: list[ObservationPeer] = attrs.field(factory=list)
     failed: list[LabUpstream] = attrs.field(factory=list)
     failed_at: float = 0
-    # False while the store answers nobody.
+    # False while the store is unavailable.
     store_answers: bool = True
 
     def build(self) -> None:
-        """Start upstreams, nodes and callers, and let them settle."""
+        """Start upstreams, nodes and callers, and run a calm phase."""
         for domain in self.names():
             for _ in range(self.upstreams):
                 self.world.add_upstream(domain, work_seconds=0.022)
@@ -93,13 +93,13 @@
                 self.world.add_node(domain)
         if not self.sees_outages:
             for node in self.world.nodes:
-                node.core.updater.placer.outages = BlindOutages(
+                node.core.updater.placer.outages = NoOutageDetector(
                     node.core.updater.upstreams,
                 )
         for node in self.world.nodes:
-            probe = LabStoreProbe(node=node, answers=self.has_store)
+            probe = LabStoreProbe(node=node, answers=self.is_store_available)
             isolation = node.core.updater.placer.isolation
-            isolation.on_suspected = probe.suspect
+            isolation.on_suspected = probe.start_probe
         if self.shares:
             self.peers = share_observations(self.world)
         for domain in self.names():
@@ -116,10 +116,10 @@
         self.world.run(CALM_SECONDS)
 
     def steady_rate(self, _now: float) -> float:
-        """Return the calls a second of one domain."""
+        """Return the calls per second of one domain."""
         return self.rate
 
-    def has_store(self) -> bool:
+    def is_store_available(self) -> bool:
         """Return True while the store answers."""
         return self.store_answers
 
@@ -133,7 +133,7 @@
         return [one for one in known if one.domain == domain]
 
     def fail(self, upstreams: Iterable[LabUpstream]) -> None:
-        """Let the processes of upstreams end; their hosts refuse for them."""
+        """End the processes of upstreams; their hosts answer with resets."""
         self.failed_at = self.world.timeline.now
         for upstream in upstreams:
             upstream.condition = Condition.REFUSING
@@ -141,7 +141,7 @@
             self.failed.append(upstream)
 
     def cut(self, domain: str) -> None:
-        """Cut the nodes of a domain off from the upstreams of all others."""
+        """Partition a domain's nodes from the upstreams of all others."""
         self.failed_at = self.world.timeline.now
         for node in self.world.nodes:
             for upstream in self.world.upstreams.values():
@@ -150,7 +150,7 @@
                     self.world.network.cuts.add(frozenset(ends))
 
     def come_back(self) -> None:
-        """Start what has failed anew, as another process."""
+        """Start new processes for the failed upstreams."""
         for upstream in self.failed:
             upstream.condition = Condition.WELL
             upstream.running = 0
@@ -159,7 +159,10 @@
         self.failed.clear()
 
     def served(self, domain: str, begin: float, end: float) -> Served:
-        """Count what a domain's callers got, by seconds since the failure."""
+        """Count the results of a domain's calls between two times.
+
+        Times are in seconds since the failure.
+        """
         calls = [
             call
             for one in self.callers
@@ -175,7 +178,7 @@
         return first_request.sent_at
 
     def settle(self) -> None:
-        """Let the callers stop, and their calls end."""
+        """Stop the callers and wait until their calls end."""
         for one in self.callers:
             one.stopped = True
         self.world.run(SETTLE_SECONDS)
