--- a/burdocksill_lab/packets/fleet.py
+++ b/burdocksill_lab/packets/fleet.py
@@ -1,7 +1,7 @@
-"""A fleet that shares the readings of a store, on virtual time.
+"""Simulated fleet whose nodes share reads of the store, on virtual time.
 
-The nodes run the product's own tasks over a network in memory; clients and
-upstreams are left out, only their entries in the store are there.
+The nodes run the real tasks over an in-memory network. There are no clients,
+and upstreams exist only as entries in the store.
 """
 
 from collections.abc import AsyncGenerator, Iterator
@@ -33,13 +33,13 @@
 STORE: Final = Address('10.200.0.1', 8169)
 PEER_PORT: Final = 7720
 PACKET_PORT: Final = 8172
-# How often staleness is looked at.
-LOOK_SECONDS: Final = 0.02
+# Interval at which versions and staleness are sampled.
+SAMPLE_SECONDS: Final = 0.02
 
 
 @attrs.define(kw_only=True)
 class FleetNode:
-    """Hold one node, and the scope that its tasks run in."""
+    """Node with the cancel scope of its tasks."""
 
     settings: PacketSettings
     core: PacketCore
@@ -69,7 +69,7 @@
 
 @attrs.define(kw_only=True)
 class SharedFleet:
-    """Hold nodes, the store and the network between them."""
+    """Nodes, the store and the network between them."""
 
     seed: int
     nursery: trio.Nursery
@@ -80,21 +80,23 @@
     version: int = 0
     hosts: int = 0
     peer_bytes: int = 0
-    # The oldest knowledge of any node that has read the store, in seconds.
+    # Highest staleness in seconds of any node that has read the store.
     oldest: float = 0
 
     def __attrs_post_init__(self) -> None:
-        """Seed everything from one number."""
+        """Create the random generators from the seed, and the network."""
         self.rng = Random(self.seed)
         self.network = FakeNetwork(rng=Random(self.rng.random()))
-        self.network.taps.append(self.count)
+        self.network.taps.append(self.count_bytes)
 
-    def count(self, _source: Address, _target: Address, payload: bytes) -> None:
-        """Count what nodes send each other."""
+    def count_bytes(
+        self, _source: Address, _target: Address, payload: bytes
+    ) -> None:
+        """Count the bytes that nodes send each other."""
         self.peer_bytes += len(payload)
 
     def put_version(self, idle: int = 0) -> int:
-        """Write the next manifest, with routes that nobody uses."""
+        """Write the next manifest, with unused routes; return its version."""
         self.version += 1
         write_manifest(
             self.store.put,
@@ -111,9 +113,9 @@
         cores: float = 1,
         name: str = '',
     ) -> FleetNode:
-        """Start a node, or one anew under the name and host of another."""
+        """Start a node; with a name, restart the node of that name."""
         if name:
-            host = next(one.host for one in self.nodes if one_is(one, name))
+            host = next(one.host for one in self.nodes if has_name(one, name))
         else:
             self.hosts += 1
             host = f'10.1.{self.hosts // 250}.{self.hosts % 250 + 1}'
@@ -141,13 +143,13 @@
         )
         store_sync = await make_store_sync(settings, core.store_cache, runtime)
         node = FleetNode(settings=settings, core=core, store_sync=store_sync)
-        self.nodes = [one for one in self.nodes if not one_is(one, name)]
+        self.nodes = [one for one in self.nodes if not has_name(one, name)]
         self.nodes.append(node)
         self.nursery.start_soon(node.run)
         return node
 
     def kill(self, node: FleetNode, *, silent: bool = True) -> None:
-        """End a node; with its VM, or its process alone."""
+        """End a node: its VM if `silent`, else only its process."""
         node.scope.cancel()
         self.network.kill(node.host, silent=silent)
 
@@ -166,32 +168,35 @@
                 yield node
 
     async def in_force(self, version: int, limit: float) -> float:
-        """Wait until all living nodes have a version; return how long."""
-        began = trio.current_time()
-        while trio.current_time() - began < limit:
+        """Return the seconds until all running nodes have a version.
+
+        Infinite if that takes longer than `limit` seconds.
+        """
+        started_at = trio.current_time()
+        while trio.current_time() - started_at < limit:
             if all(node.version >= version for node in self.living()):
-                return trio.current_time() - began
-            await trio.sleep(LOOK_SECONDS)
+                return trio.current_time() - started_at
+            await trio.sleep(SAMPLE_SECONDS)
         return float('inf')
 
     async def run(self, seconds: float) -> None:
-        """Let time pass, and keep the oldest knowledge seen."""
+        """Run for some seconds and record the highest staleness."""
         until = trio.current_time() + seconds
         while trio.current_time() < until:
             for node in self.living():
                 if node.core.progress.is_synced:
                     age = node.core.progress.age()
                     self.oldest = max(self.oldest, age)
-            await trio.sleep(LOOK_SECONDS)
+            await trio.sleep(SAMPLE_SECONDS)
 
 
-def one_is(node: FleetNode, name: str) -> bool:
-    """Return True for the node of a name."""
+def has_name(node: FleetNode, name: str) -> bool:
+    """Return True if the node has the name."""
     return node.settings.name == name
 
 
 def unused_socket(host: str) -> Any:
-    """Return a socket for packets that none will come to."""
+    """Return a socket that receives no packets."""
     network = DatagramNetwork(timeline=VirtualTimeline())
     return MemorySocket(network=network, address=(host, PACKET_PORT))
 
