--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -1,4 +1,4 @@
-"""Nodes of a packet world that tell each other what openings met."""
+"""Exchange of observations between the nodes of a packet simulation."""
 
 from typing import Final
 
@@ -13,7 +13,7 @@
 from burdocksill.readers.observations import BATCH_SECONDS, ObservationExchange
 from burdocksill.readers.publisher import Publisher, Subscriber
 from burdocksill.readers.wire import decode
-from burdocksill_lab.packets.network import Address as Place
+from burdocksill_lab.packets.network import Address as SocketAddress
 from burdocksill_lab.packets.world import LabNode, PacketWorld
 
 PEER_PORT: Final = 7720
@@ -22,33 +22,33 @@
 
 @attrs.define(kw_only=True)
 class ObservationPeer:
-    """Run the product's exchange of observations on one node."""
+    """Run the real observation exchange of one node on virtual time."""
 
     node: LabNode
     world: PacketWorld
     exchange: ObservationExchange
-    told_at: float = 0
-    due: bool = False
+    flushed_at: float = 0
+    is_scheduled: bool = False
     sent_bytes: int = 0
 
     def schedule_observations(self) -> None:
-        """Tell it soon, together with what else comes."""
-        if self.due:
+        """Schedule a flush, so that observations are sent in batches."""
+        if self.is_scheduled:
             return
-        self.due = True
+        self.is_scheduled = True
         now = self.world.timeline.now
-        wait = max(0, self.told_at + BATCH_SECONDS - now)
-        self.world.timeline.after(wait, self.tell)
+        wait = max(0, self.flushed_at + BATCH_SECONDS - now)
+        self.world.timeline.after(wait, self.flush)
 
-    def tell(self) -> None:
-        """Send what is news."""
-        self.due = False
-        self.told_at = self.world.timeline.now
+    def flush(self) -> None:
+        """Send the pending observations."""
+        self.is_scheduled = False
+        self.flushed_at = self.world.timeline.now
         if self.node.alive:
             self.exchange.flush()
 
-    def receive(self, payload: bytes, source: Place) -> None:
-        """Take what another node tells."""
+    def receive(self, payload: bytes, source: SocketAddress) -> None:
+        """Handle a datagram of another node."""
         message = decode(payload, self.world.timeline.now)
         if isinstance(message, Observations) and self.node.alive:
             self.exchange.take(message.observations, Address(*source))
@@ -63,14 +63,14 @@
         return True
 
     def claim(self, observations: list[Observation]) -> None:
-        """Tell what was never seen, as a node that lies does."""
+        """Send forged observations to the reader, as a faulty node does."""
         reader = self.exchange.reader
         assert reader is not None
         self.exchange.send_observations(observations, reader.address)
 
 
 def share_observations(world: PacketWorld) -> list[ObservationPeer]:
-    """Let all nodes share; the first of a domain reads for it."""
+    """Connect all nodes; the first node of each domain is its reader."""
     peers = [make_peer(world, node) for node in world.nodes]
     readers: dict[str, ObservationPeer] = {}
     for peer in peers:
@@ -90,7 +90,7 @@
 
 
 def make_peer(world: PacketWorld, node: LabNode) -> ObservationPeer:
-    """Connect a node with the others."""
+    """Create the exchange of a node and connect it to the network."""
     address = Address(node.address[0], PEER_PORT)
     core = node.core
 
