--- a/burdocksill_lab/packets/power.py
+++ b/burdocksill_lab/packets/power.py
@@ -1,4 +1,4 @@
-"""A failure domain that loses power: its machines and its upstreams at once."""
+"""Power loss of a failure domain: all its nodes and upstreams at once."""
 
 from functools import partial
 from typing import Final
@@ -10,26 +10,26 @@
 from burdocksill_lab.packets.upstream import Condition, LabUpstream
 from burdocksill_lab.packets.world import LabNode
 
-# Routers turn from a node after two missed probes.
+# Routers stop sending to a node after two failed probes.
 ROTATION_SECONDS: Final = 1.0
-# Entries vanish after three missed heartbeats, one after the other.
-FIRST_LAPSE_SECONDS: Final = 1.5
-LAST_LAPSE_SECONDS: Final = 2.3
+# Entries expire one after the other, after three missed heartbeats.
+FIRST_EXPIRY_SECONDS: Final = 1.5
+LAST_EXPIRY_SECONDS: Final = 2.3
 
 
 @attrs.define(kw_only=True)
 class PowerLoss:
-    """Take the power of a domain away, and give it back."""
+    """Power loss of a domain, and its recovery."""
 
     deployment: OutageDeployment
     domain: str
-    # False is a control: nodes that start hear nothing of readers.
+    # False for the control run: new nodes get no updates from readers.
     hears_readers: bool = True
     nodes: list[LabNode] = attrs.field(factory=list)
     upstreams: list[LabUpstream] = attrs.field(factory=list)
 
     def begin(self) -> None:
-        """Let nothing in the domain answer from now on."""
+        """Stop all nodes and upstreams of the domain."""
         world = self.deployment.world
         self.deployment.failed_at = world.timeline.now
         self.nodes = [
@@ -39,15 +39,15 @@
             node.stands = True
         world.timeline.after(ROTATION_SECONDS, self.leave_rotation)
         self.upstreams = self.deployment.in_domain(self.domain)
-        spread = LAST_LAPSE_SECONDS - FIRST_LAPSE_SECONDS
+        spread = LAST_EXPIRY_SECONDS - FIRST_EXPIRY_SECONDS
         for number, upstream in enumerate(self.upstreams):
             upstream.condition = Condition.DARK
             upstream.restart()
-            lapse = FIRST_LAPSE_SECONDS + spread * number / len(self.upstreams)
-            world.timeline.after(lapse, partial(world.deregister, upstream))
+            delay = FIRST_EXPIRY_SECONDS + spread * number / len(self.upstreams)
+            world.timeline.after(delay, partial(world.deregister, upstream))
 
     def leave_rotation(self) -> None:
-        """Let routers turn to other domains."""
+        """Remove the nodes from rotation, so that routers use other domains."""
         for node in self.nodes:
             node.stands = False
             node.alive = False
@@ -55,7 +55,7 @@
             node.backlog.clear()
 
     def end(self) -> None:
-        """Start the machines, which know nothing, and new upstreams."""
+        """Start nodes without state, and new upstream processes."""
         world = self.deployment.world
         for upstream in self.upstreams:
             world.replace_upstream(upstream)
