--- a/burdocksill_lab/packets/plots.py
+++ b/burdocksill_lab/packets/plots.py
@@ -1,4 +1,4 @@
-"""Plots of what callers got over time."""
+"""Plots of the results of calls over time."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -17,7 +17,7 @@
 
 @attrs.frozen(kw_only=True)
 class Course:
-    """Hold parts of the calls over time, of one variant."""
+    """Fractions of the calls over time, for one variant."""
 
     name: str
     times: Sequence[float]
@@ -26,7 +26,7 @@
 
 
 def plot_courses(courses: Sequence[Course], path: Path) -> None:
-    """Draw what was in time and what was refused, variants beside."""
+    """Plot the fractions in time and refused, one subplot per variant."""
     figure, axes = plt.subplots(
         1,
         len(courses),
