--- a/burdocksill_lab/packets/__init__.py
+++ b/burdocksill_lab/packets/__init__.py
@@ -1,1 +1,1 @@
-"""The packet path in a small world: clients, upstreams, routers, a store."""
+"""Simulation of the packet path: clients, upstreams, routers and a store."""
