--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -38,9 +38,9 @@
         self.is_scheduled = True
         now = self.world.timeline.now
         wait = max(0, self.flushed_at + BATCH_SECONDS - now)
-        self.world.timeline.after(wait, self.flush)
+        self.world.timeline.after(wait, self.send_pending)
 
-    def flush(self) -> None:
+    def send_pending(self) -> None:
         """Send the pending observations."""
         self.is_scheduled = False
         self.flushed_at = self.world.timeline.now
