--- a/burdocksill_lab/soak/__init__.py
+++ b/burdocksill_lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak of the real programs with faults from outside them."""
+"""Randomized soak test of the real programs with external fault injection."""
--- a/burdocksill_lab/soak/broken.py
+++ b/burdocksill_lab/soak/broken.py
@@ -1,4 +1,4 @@
-"""Run a node with one guard taken out, to see whether a soak notices."""
+"""Run a node without one safeguard, to test that a soak detects it."""
 
 import sys
 from collections.abc import Callable, Mapping
@@ -13,29 +13,29 @@
 from burdocksill.platform.early import bind_early
 
 
-def forget_drain() -> None:
-    """Give new flows to upstreams that leave."""
+def ignore_draining() -> None:
+    """Place new flows on draining upstreams."""
     original = upstreams.UpstreamRegistry.add_candidate
 
-    def place(self: Any, known: Any) -> None:
+    def place_draining(self: Any, known: Any) -> None:
         if known.record.state is UpstreamState.DRAINING:
             domains = self.by_service.setdefault(known.record.service, {})
-            found = domains.setdefault(known.record.domain, {})
-            found[known.record.name] = known
+            candidates = domains.setdefault(known.record.domain, {})
+            candidates[known.record.name] = known
         original(self, known)
 
     upstreams.UpstreamRegistry.add_candidate = (  # type: ignore[method-assign]
-        place
+        place_draining
     )
 
 
-def forget_domains() -> None:
-    """Give new flows to domains that were taken out."""
+def ignore_domains() -> None:
+    """Place new flows in domains that are out of service."""
     StateUpdater.apply_domain = lambda *_: None  # type: ignore[method-assign]
 
 
-def trust_silence() -> None:
-    """End flows of upstreams that this node does not know."""
+def reset_unknown_flows() -> None:
+    """Reset flows of upstreams that this node does not know."""
 
     def reset(self: Any, packet: Any, _now: float) -> Any:
         return self.reset(packet, Reason.UNKNOWN_ECHO)
@@ -43,14 +43,14 @@
     forwarding.Forwarder.without_upstream = reset  # type: ignore[method-assign,assignment]
 
 
-def count_backlog() -> None:
-    """Take repeats that have waited in this node for silence."""
+def count_backlogged_packets() -> None:
+    """Count retransmissions that waited in this node as unanswered."""
     flows.MIN_RETRANSMIT_SECONDS = -1  # type: ignore[misc]
     core.BEHIND_SECONDS = 1e9  # type: ignore[misc]
 
 
-def change_packets() -> None:
-    """Write into a field that belongs to the ends of a flow."""
+def corrupt_packets() -> None:
+    """Overwrite a header field that only the ends of a flow may change."""
     original = header.with_echo
 
     def with_echo(payload: bytes, echo: int) -> bytes:
@@ -59,31 +59,31 @@
     forwarding.with_echo = with_echo  # type: ignore[attr-defined]
 
 
-def forget_manifests() -> None:
-    """Keep the first manifest for ever."""
+def ignore_new_manifests() -> None:
+    """Ignore every manifest after the first."""
     original = StateUpdater.apply_manifest
 
-    def learn(self: Any, news: Any) -> None:
+    def apply_first(self: Any, news: Any) -> None:
         if not self.table.version:
             original(self, news)
 
-    StateUpdater.apply_manifest = learn  # type: ignore[method-assign]
+    StateUpdater.apply_manifest = apply_first  # type: ignore[method-assign]
 
 
 GUARDS: Final[Mapping[str, Callable[[], None]]] = MappingProxyType(
     {
-        'drain': forget_drain,
-        'domains': forget_domains,
-        'silence': trust_silence,
-        'backlog': count_backlog,
-        'packets': change_packets,
-        'manifests': forget_manifests,
+        'drain': ignore_draining,
+        'domains': ignore_domains,
+        'silence': reset_unknown_flows,
+        'backlog': count_backlogged_packets,
+        'packets': corrupt_packets,
+        'manifests': ignore_new_manifests,
     },
 )
 
 
 def main() -> None:
-    """Take out the guard that the first argument names, and run."""
+    """Disable the safeguard named by the first argument and run the node."""
     early = bind_early()
     GUARDS[sys.argv[1]]()
     from burdocksill.packets.main import main as run_node
--- a/burdocksill_lab/soak/changes.py
+++ b/burdocksill_lab/soak/changes.py
@@ -1,4 +1,4 @@
-"""Do what teams, operators and upstreams do: changes of all kinds."""
+"""Changes that teams, operators and upstreams make during a soak."""
 
 from typing import Final
 
@@ -12,86 +12,90 @@
     OTHER_SERVICE,
     SERVICE,
     TOGGLED_PORT,
-    SoakDay,
+    SoakDeployment,
 )
-from burdocksill_lab.soak.plan import Trouble
+from burdocksill_lab.soak.plan import PlannedFault
 
-# An upstream's entry goes after three heartbeats of silence.
+# An upstream's entry expires after three missed heartbeats.
 LAPSE_SECONDS: Final = 2.3
-# A leaving upstream serves on for this long.
+# Time for which a draining upstream keeps serving.
 LEAVING_SECONDS: Final = 6.0
 REUSE_SECONDS: Final = 2.0
-STORM_VERSIONS: Final = 6
-STORM_GAP_SECONDS: Final = 0.2
-FEWEST_UPSTREAMS: Final = 3
+BURST_VERSIONS: Final = 6
+BURST_GAP_SECONDS: Final = 0.2
+MIN_UPSTREAMS: Final = 3
 
 
 @attrs.define(kw_only=True)
 class Changes:
-    """Change upstreams, manifests and domains of a day."""
+    """Changes of a deployment's upstreams, manifests and domains."""
 
-    day: SoakDay
+    deployment: SoakDeployment
 
-    def one_upstream(self, trouble: Trouble) -> LabUpstream | None:
-        """Return an upstream that may go, None if too few would be left."""
-        living = self.day.living()
-        if len(living) <= FEWEST_UPSTREAMS:
+    def pick_upstream(self, fault: PlannedFault) -> LabUpstream | None:
+        """Return an upstream that may end; None if too few would be left."""
+        serving = self.deployment.serving()
+        if len(serving) <= MIN_UPSTREAMS:
             return None
-        return living[trouble.target % len(living)]
+        return serving[fault.target % len(serving)]
 
-    async def darken(self, trouble: Trouble) -> None:
-        """Let an upstream lose power; another takes its place."""
-        upstream = self.one_upstream(trouble)
+    async def fail_upstream(self, fault: PlannedFault) -> None:
+        """Fail an upstream without notice and start a replacement."""
+        upstream = self.pick_upstream(fault)
         if upstream is None:
             return
         upstream.condition = Condition.DARK
-        self.day.judge.ledger.ended[upstream.name] = self.day.judge.clock()
+        self.deployment.checker.expected.ended[upstream.name] = (
+            self.deployment.checker.clock()
+        )
         await trio.sleep(LAPSE_SECONDS)
-        self.day.deregister(upstream)
-        await self.day.add_upstream(upstream.domain, SERVICE)
+        self.deployment.deregister(upstream)
+        await self.deployment.add_upstream(upstream.domain, SERVICE)
 
-    async def reuse(self, trouble: Trouble) -> None:
-        """Give the address of an upstream that ended to another service."""
-        upstream = self.one_upstream(trouble)
+    async def reuse_address(self, fault: PlannedFault) -> None:
+        """Start another service at the address of a failed upstream."""
+        upstream = self.pick_upstream(fault)
         if upstream is None:
             return
-        await self.darken(trouble)
+        await self.fail_upstream(fault)
         await trio.sleep(REUSE_SECONDS)
         address = upstream.address
-        await self.day.add_upstream(upstream.domain, OTHER_SERVICE, address)
+        await self.deployment.add_upstream(
+            upstream.domain, OTHER_SERVICE, address
+        )
 
-    async def toggle_route(self, _: Trouble) -> None:
-        """Add the second route, or take it away."""
+    async def toggle_route(self, _: PlannedFault) -> None:
+        """Add the second route, or remove it."""
         routes = {ROUTE_PORT: SERVICE}
-        if not self.day.judge.ledger.route(TOGGLED_PORT)[0]:
+        if not self.deployment.checker.expected.route(TOGGLED_PORT)[0]:
             routes[TOGGLED_PORT] = OTHER_SERVICE
-        self.day.put_manifest(routes)
+        self.deployment.put_manifest(routes)
 
-    async def storm(self, trouble: Trouble) -> None:
+    async def write_manifests(self, fault: PlannedFault) -> None:
         """Write manifests in quick succession."""
-        for _ in range(STORM_VERSIONS):
-            await self.toggle_route(trouble)
-            await trio.sleep(STORM_GAP_SECONDS)
+        for _ in range(BURST_VERSIONS):
+            await self.toggle_route(fault)
+            await trio.sleep(BURST_GAP_SECONDS)
 
-    async def take_out(self, trouble: Trouble) -> None:
-        """Take a failure domain out for a while."""
-        domain = DOMAINS[trouble.target % len(DOMAINS)]
-        if self.day.judge.ledger.out:
+    async def take_out(self, fault: PlannedFault) -> None:
+        """Take a failure domain out of service for a while."""
+        domain = DOMAINS[fault.target % len(DOMAINS)]
+        if self.deployment.checker.expected.domains_out:
             return
-        self.day.set_out(domain, out=True)
-        await trio.sleep(LEAVING_SECONDS + trouble.seconds)
-        self.day.set_out(domain, out=False)
+        self.deployment.set_out(domain, out=True)
+        await trio.sleep(LEAVING_SECONDS + fault.seconds)
+        self.deployment.set_out(domain, out=False)
 
-    async def release(self, trouble: Trouble) -> None:
+    async def release(self, fault: PlannedFault) -> None:
         """Replace an upstream: the new one starts, the old one drains."""
-        upstream = self.one_upstream(trouble)
+        upstream = self.pick_upstream(fault)
         if upstream is None:
             return
-        await self.day.add_upstream(upstream.domain, SERVICE)
-        ledger = self.day.judge.ledger
-        ledger.draining[upstream.name] = self.day.judge.clock()
-        write_entry(self.day.store.put, upstream, 'draining')
+        await self.deployment.add_upstream(upstream.domain, SERVICE)
+        expected = self.deployment.checker.expected
+        expected.draining[upstream.name] = self.deployment.checker.clock()
+        write_entry(self.deployment.store.put, upstream, 'draining')
         await trio.sleep(LEAVING_SECONDS)
-        ledger.ended[upstream.name] = self.day.judge.clock()
+        expected.ended[upstream.name] = self.deployment.checker.clock()
         upstream.condition = Condition.DARK
-        self.day.deregister(upstream)
+        self.deployment.deregister(upstream)
--- a/burdocksill_lab/soak/day.py
+++ b/burdocksill_lab/soak/day.py
@@ -1,4 +1,4 @@
-"""The surroundings of a soak: nodes, routers, store, upstreams and users."""
+"""Deployment of a soak: nodes, routers, store, upstreams and users."""
 
 import zlib
 from collections.abc import Awaitable, Callable, Iterator
@@ -29,18 +29,18 @@
     write_entry,
     write_manifest,
 )
-from burdocksill_lab.soak.judge import Judge
+from burdocksill_lab.soak.judge import SoakChecker
 from burdocksill_lab.soak.proxy import StoreProxy
 
 DOMAINS: Final = ('a', 'b')
 STORE_HOST: Final = '127.10.0.1'
-# Upstreams listen above the nodes' ports, so that soaks may run side by side.
+# Offset of upstream ports from node ports; lets several soaks run at once.
 UPSTREAM_OFFSET: Final = 2
-# A port whose route comes and goes.
+# Port whose route is added and removed repeatedly.
 TOGGLED_PORT: Final = 9443
 SERVICE: Final = 'ledger'
 OTHER_SERVICE: Final = 'desk'
-# Between two requests of one user.
+# Mean pause between two requests of one user.
 PAUSE_SECONDS: Final = 0.25
 DEADLINE_SECONDS: Final = 1.6
 FIRST_PORT: Final = 1024
@@ -51,36 +51,36 @@
 
 @attrs.define(kw_only=True)
 class SoakNode:
-    """Hold a node's process, its proxy and what becomes of its packets."""
+    """Node process with its store proxy and packet fault rates."""
 
     process: NodeProcess
     proxy: StoreProxy
-    # Share of the packets from routers that is lost, and that comes twice.
+    # Fractions of the packets from routers that are lost and duplicated.
     lost: float = 0
     doubled: float = 0
-    # True while the soak itself has ended the process.
+    # True while the soak has stopped the process.
     is_down: bool = False
 
 
 @attrs.frozen(kw_only=True)
 class SoakSize:
-    """Hold how large manifests are, and how slow the links they come over."""
+    """Size of manifests and bandwidth of the store's links."""
 
-    # Routes of each manifest that nobody uses.
+    # Number of unused routes in each manifest.
     idle_routes: int = 0
-    # What the store can send to each node; 0 for any amount.
+    # Bandwidth from the store to each node; 0 is unlimited.
     link_bytes_per_second: float = 0
 
 
 @attrs.define(kw_only=True)
-class SoakDay:
-    """Hold all of it, on real sockets and real time."""
+class SoakDeployment:
+    """Deployment on real sockets and real time."""
 
     nursery: trio.Nursery
     folder: Path
     port: int
     rng: Random
-    judge: Judge
+    checker: SoakChecker
     command: tuple[str, ...]
     size: SoakSize
     store: LabStore = attrs.field(factory=LabStore)
@@ -95,12 +95,12 @@
     hosts: int = 0
 
     def __attrs_post_init__(self) -> None:
-        """Prepare network and time."""
+        """Create the network and the timeline."""
         self.network = LoopbackNetwork(nursery=self.nursery)
         self.timeline = TrioTimeline(nursery=self.nursery)
 
     async def start(self, *, nodes: int, upstreams: int) -> None:
-        """Start everything but the users."""
+        """Start store, upstreams, nodes and probes, but no users."""
         store = await self.listen(STORE_HOST, self.store.serve)
         self.nursery.start_soon(self.store.run_leases)
         self.put_manifest({ROUTE_PORT: SERVICE})
@@ -119,14 +119,14 @@
         host: str,
         handler: StreamHandler,
     ) -> Address:
-        """Serve streams on a free port."""
+        """Serve TCP streams on a free port and return its address."""
         listeners = await trio.open_tcp_listeners(0, host=host)
         self.nursery.start_soon(trio.serve_listeners, handler, listeners)
         bound = listeners[0].socket.getsockname()
         return (bound[0], bound[1])
 
     async def add_node(self, number: int, store: Address) -> None:
-        """Start a node behind a proxy of its own."""
+        """Start a node that reaches the store through its own proxy."""
         proxy = StoreProxy(
             store=store,
             bytes_per_second=self.size.link_bytes_per_second,
@@ -154,7 +154,7 @@
             self.hosts += 1
             host = f'127.14.{self.hosts // 250}.{self.hosts % 250 + 1}'
             address = (host, self.port + UPSTREAM_OFFSET)
-            await self.network.open(address, self.hand_over)
+            await self.network.open(address, self.deliver_to_upstream)
         upstream = LabUpstream(
             name=next(self.names),
             address=address,
@@ -163,33 +163,33 @@
             timeline=self.timeline,
             network=self.network,
             client_port=self.port,
-            on_open=self.judge.opened,
+            on_open=self.checker.check_opening,
         )
         self.upstreams.append(upstream)
-        self.judge.upstreams[upstream.tag & 0xFFFFFFFF] = upstream
+        self.checker.upstreams[upstream.tag & 0xFFFFFFFF] = upstream
         write_entry(self.store.put, upstream, 'ready')
         return upstream
 
-    def hand_over(self, payload: bytes, source: Address) -> None:
-        """Hand a datagram to the upstream that it is marked for.
+    def deliver_to_upstream(self, payload: bytes, source: Address) -> None:
+        """Pass a datagram to all upstreams; the tagged one handles it.
 
-        An address may have been given to another upstream meanwhile; who is
-        not meant takes nothing.
+        An address may have been reused by another upstream; upstreams ignore
+        datagrams with another tag.
         """
         for upstream in self.upstreams:
             upstream.receive(payload, source)
 
     def put_manifest(self, routes: dict[int, str]) -> None:
-        """Write the next manifest."""
+        """Write the next manifest and record its routes as expected."""
         self.version += 1
-        now = self.judge.clock()
-        ledger = self.judge.ledger
+        now = self.checker.clock()
+        expected = self.checker.expected
         for port, service in routes.items():
-            ledger.allowed.setdefault(port, set()).add(service)
-        for port in {*routes, *ledger.routes}:
-            leads_to = routes.get(port, '')
-            if ledger.route(port)[0] != leads_to:
-                ledger.routes[port] = (leads_to, now)
+            expected.allowed.setdefault(port, set()).add(service)
+        for port in {*routes, *expected.routes}:
+            service_now = routes.get(port, '')
+            if expected.route(port)[0] != service_now:
+                expected.routes[port] = (service_now, now)
         write_manifest(
             self.store.put,
             self.version,
@@ -198,27 +198,27 @@
         )
 
     def set_out(self, domain: str, *, out: bool) -> None:
-        """Take a domain out, or back in."""
+        """Take a domain out of service, or back in."""
         if out:
-            self.judge.ledger.out[domain] = self.judge.clock()
+            self.checker.expected.domains_out[domain] = self.checker.clock()
             self.store.put(DOMAINS_OUT + domain, b'{}')
-        elif self.judge.ledger.out.pop(domain, None) is not None:
+        elif self.checker.expected.domains_out.pop(domain, None) is not None:
             self.store.remove(DOMAINS_OUT + domain)
 
     def deregister(self, upstream: LabUpstream) -> None:
-        """Remove an upstream's entry if it is there."""
+        """Remove an upstream's entry if it exists."""
         if UPSTREAMS + upstream.name in self.store.items:
             self.store.remove(UPSTREAMS + upstream.name)
 
-    def living(self) -> list[LabUpstream]:
-        """Return the upstreams of the main service that stay."""
-        ledger = self.judge.ledger
+    def serving(self) -> list[LabUpstream]:
+        """Return upstreams of SERVICE that neither drain nor have ended."""
+        expected = self.checker.expected
         return [
             one
             for one in self.upstreams
             if one.service == SERVICE
-            and one.name not in ledger.draining
-            and one.name not in ledger.ended
+            and one.name not in expected.draining
+            and one.name not in expected.ended
         ]
 
     def client_host(self, domain: str) -> str:
@@ -226,7 +226,7 @@
         return f'127.12.0.{DOMAINS.index(domain) + 1}'
 
     async def probe(self) -> None:
-        """Probe all nodes for as long as the soak lasts."""
+        """Probe all nodes periodically until cancelled."""
         while True:
             async with trio.open_nursery() as nursery:
                 for node in self.nodes:
@@ -234,13 +234,13 @@
                 await trio.sleep(PROBE_SECONDS)
 
     def are_ready(self) -> bool:
-        """Return True when every node is in rotation."""
+        """Return True if every node is in rotation."""
         return all(
             node.process.misses < UNHEALTHY_THRESHOLD for node in self.nodes
         )
 
     def open_flow(self, domain: str, port: int) -> ClientFlow:
-        """Prepare a flow; its first request opens it."""
+        """Create a client flow; its first request opens it."""
         self.next_port += 1
         if self.next_port > LAST_PORT:
             self.next_port = FIRST_PORT
@@ -265,11 +265,11 @@
         payload: bytes,
         flow: tuple[int, int, int, int],
     ) -> None:
-        """Send a packet to a node of the client's domain, by a hash."""
-        near = [one for one in self.nodes if one.process.domain == domain]
+        """Send a packet to a node of the client's domain by the flow's hash."""
+        local = [one for one in self.nodes if one.process.domain == domain]
         nodes = [
-            one for one in near if one.process.misses < UNHEALTHY_THRESHOLD
-        ] or near
+            one for one in local if one.process.misses < UNHEALTHY_THRESHOLD
+        ] or local
         node = nodes[zlib.crc32(repr(flow).encode()) % len(nodes)]
         if self.rng.random() < node.lost:
             return
@@ -280,29 +280,29 @@
             self.network.send(payload, source, target)
 
     def receive(self, payload: bytes, _: Address) -> None:
-        """Hand a packet to the client's flow that it is for."""
+        """Deliver a packet to the client flow that it is addressed to."""
         deliver_to_flow(self.flows, payload)
 
-    async def use(self, domain: str, port: int, *, long: bool) -> None:
-        """Send requests for ever: on one flow while it lives, or each anew."""
+    async def run_user(self, domain: str, port: int, *, long: bool) -> None:
+        """Send requests until cancelled, on one long flow or a flow each."""
         flow = self.open_flow(domain, port)
         while True:
-            await self.ask(flow)
+            await self.send_request(flow)
             await trio.sleep(PAUSE_SECONDS * self.rng.uniform(0.5, 1.5))
-            if flow.ended or not long or self.judge.is_leaving(flow):
-                self.leave(flow)
+            if flow.ended or not long or self.checker.is_leaving(flow):
+                self.close_flow(flow)
                 flow = self.open_flow(domain, port)
 
-    async def ask(self, flow: ClientFlow) -> None:
-        """Send a request and wait for its end."""
+    async def send_request(self, flow: ClientFlow) -> None:
+        """Send a request, wait until it ends and check it."""
         request = flow.request()
         await until(lambda: flow.waiting is not request, POLL_SECONDS)
-        self.judge.finished(flow, request)
+        self.checker.check_request(flow, request)
 
-    def leave(self, flow: ClientFlow) -> None:
-        """Close a flow, and check how it ended if it did."""
+    def close_flow(self, flow: ClientFlow) -> None:
+        """Close a flow; check a reset that a node sent."""
         if flow.system_reset:
-            self.judge.was_reset(flow)
+            self.checker.check_reset(flow)
         elif flow.open and not flow.ended:
             flow.packet(FIN, ack=flow.ack)
         del self.flows[flow.key]
@@ -315,6 +315,6 @@
 
 
 async def until(holds: Callable[[], bool], pause: float) -> None:
-    """Wait until something holds, looked at after each pause."""
+    """Poll until a condition holds, with a pause in seconds."""
     while not holds():  # noqa: ASYNC110
         await trio.sleep(pause)
--- a/burdocksill_lab/soak/judge.py
+++ b/burdocksill_lab/soak/judge.py
@@ -1,4 +1,4 @@
-"""Check the promises from what clients and upstreams see."""
+"""Checker of a soak: invariants as clients and upstreams observe them."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -10,22 +10,22 @@
 from burdocksill_lab.packets.client import ClientFlow, Outcome, Request
 from burdocksill_lab.packets.upstream import Condition, LabUpstream
 
-# What binds a node binds it again after this long without trouble.
-CALM_SECONDS: Final = 4.0
+# Invariants that faults may break must hold again after this fault-free time.
+RECOVERY_SECONDS: Final = 4.0
 DRAIN_SECONDS: Final = 3.0
 MANIFEST_SECONDS: Final = 3.0
 DOMAIN_SECONDS: Final = 5.0
-# A reset may reach a client this long after its upstream ended: a flow is
-# looked at when its user turns to it again.
+# A client may see a reset this long after its upstream ended, since a flow is
+# checked only when its user sends the next request.
 ENDED_SECONDS: Final = 12.0
-# A flow that was ended because the soak stood still is looked at within this.
-STOOD_SECONDS: Final = 2.0
+# Flows that a stall of the soak process ended are checked within this time.
+STALL_GRACE_SECONDS: Final = 2.0
 NO_ROUTE: Final = ('', 0)
 
 
 @attrs.frozen(kw_only=True)
 class Violation:
-    """Hold a broken promise and what shows it."""
+    """Violated invariant with the time and the evidence."""
 
     at: float
     promise: str
@@ -33,145 +33,161 @@
 
 
 @attrs.define(kw_only=True)
-class Ledger:
-    """Hold what operators and upstreams have said, and when."""
+class ExpectedState:
+    """Intended state set by operators and upstreams, with change times."""
 
-    # Since when each port has led to a service, or to none.
+    # Service of each port (empty for none) and since when.
     routes: dict[int, tuple[str, float]] = attrs.field(factory=dict)
     allowed: dict[int, set[str]] = attrs.field(factory=dict)
-    out: dict[str, float] = attrs.field(factory=dict)
+    domains_out: dict[str, float] = attrs.field(factory=dict)
     draining: dict[str, float] = attrs.field(factory=dict)
     ended: dict[str, float] = attrs.field(factory=dict)
 
     def route(self, port: int) -> tuple[str, float]:
-        """Return where a port leads, empty for nowhere, and since when."""
+        """Return the service of a port, empty for none, and since when."""
         return self.routes.get(port, NO_ROUTE)
 
 
 @attrs.define(kw_only=True)
-class Judge:
-    """Collect violations; times count from the beginning of the soak."""
+class SoakChecker:
+    """Collects violations; their times are readings of `clock`."""
 
     clock: Callable[[], float]
-    ledger: Ledger = attrs.field(factory=Ledger)
+    expected: ExpectedState = attrs.field(factory=ExpectedState)
     upstreams: dict[int, LabUpstream] = attrs.field(factory=dict)
     violations: list[Violation] = attrs.field(factory=list)
     outcomes: Counter[str] = attrs.field(factory=Counter)
     checked: Counter[str] = attrs.field(factory=Counter)
-    # How many troubles last, and when the last one ended.
-    troubles: int = 0
-    calm_since: float = 0
-    # When the soak itself last stood still, and how often it did.
-    stood_at: float = float('-inf')
+    # Number of faults in progress, and when the last one ended.
+    active_faults: int = 0
+    fault_free_since: float = 0
+    # Time of the last stall of the soak process, and number of stalls.
+    stalled_at: float = float('-inf')
     stalls: int = 0
 
-    def begin(self) -> None:
-        """Take note that a trouble begins."""
-        self.troubles += 1
+    def begin_fault(self) -> None:
+        """Record that a fault begins."""
+        self.active_faults += 1
 
-    def end(self) -> None:
-        """Take note that a trouble is over."""
-        self.troubles -= 1
-        self.calm_since = self.clock()
+    def end_fault(self) -> None:
+        """Record that a fault has ended."""
+        self.active_faults -= 1
+        self.fault_free_since = self.clock()
 
-    def stood_still(self) -> None:
-        """Take note that this process, and so every upstream, stood still.
+    def record_stall(self) -> None:
+        """Record that this process, and so every upstream, stalled.
 
-        Upstreams that answer nothing for 0.2 s look as if they were gone, and
-        clients' deadlines pass: nodes can't know better.
+        Nodes cannot tell a stall from a failure: upstreams that answer nothing
+        for 0.2 s look failed, and clients' deadlines pass.
         """
         self.stalls += 1
-        self.stood_at = self.clock()
-        self.begin()
-        self.end()
-
-    def is_calm(self, since: float) -> bool:
-        """Return True if nothing was troubled from some time on."""
-        return not self.troubles and since - self.calm_since >= CALM_SECONDS
+        self.stalled_at = self.clock()
+        self.begin_fault()
+        self.end_fault()
+
+    def is_fault_free(self, since: float) -> bool:
+        """Return True if no fault was active for RECOVERY_SECONDS by a time."""
+        return (
+            not self.active_faults
+            and since - self.fault_free_since >= RECOVERY_SECONDS
+        )
 
-    def blame(self, promise: str, trace: str) -> None:
-        """Write down a broken promise."""
+    def record_violation(self, promise: str, trace: str) -> None:
+        """Record a violation of an invariant."""
         self.violations.append(
             Violation(at=round(self.clock(), 3), promise=promise, trace=trace),
         )
 
-    def opened(self, upstream: LabUpstream, packet: Packet) -> None:
-        """Check an opening that an upstream took."""
+    def check_opening(self, upstream: LabUpstream, packet: Packet) -> None:
+        """Check an opening packet that an upstream accepted."""
         now = self.clock()
         flow = flow_id(packet.flow)
         where = f'{flow} at {upstream.name} of {upstream.service}'
         self.checked['opening'] += 1
-        if upstream.service not in self.ledger.allowed.get(packet.port, set()):
-            self.blame('a flow never reaches another service', where)
-        if not self.is_calm(now):
+        if upstream.service not in self.expected.allowed.get(
+            packet.port, set()
+        ):
+            self.record_violation('a flow never reaches another service', where)
+        if not self.is_fault_free(now):
             return
-        since = self.ledger.draining.get(upstream.name, now)
+        since = self.expected.draining.get(upstream.name, now)
         if now - since > DRAIN_SECONDS:
-            self.blame('a leaving upstream gets no new flow', where)
-        since = self.ledger.out.get(upstream.domain, now)
+            self.record_violation('a leaving upstream gets no new flow', where)
+        since = self.expected.domains_out.get(upstream.domain, now)
         if now - since > DOMAIN_SECONDS:
-            self.blame('a domain taken out gets no new flow', where)
+            self.record_violation('a domain taken out gets no new flow', where)
 
-    def finished(self, flow: ClientFlow, request: Request) -> None:
+    def check_request(self, flow: ClientFlow, request: Request) -> None:
         """Check a request that has ended."""
         self.outcomes[request.outcome.value] += 1
         port = flow.key[3]
-        service, since = self.ledger.route(port)
+        service, since = self.expected.route(port)
         settled = request.sent_at - since > MANIFEST_SECONDS
-        calm = self.is_calm(request.sent_at)
-        if not settled or not calm:
+        fault_free = self.is_fault_free(request.sent_at)
+        if not settled or not fault_free:
             return
         self.checked['request'] += 1
         served = request.outcome is Outcome.SERVED
         if served and not service:
-            self.blame('a manifest is in force in time', self.tell(flow))
-        if service and not served and not self.excused(flow, request):
-            self.blame(
+            self.record_violation(
+                'a manifest is in force in time', self.describe(flow)
+            )
+        if (
+            service
+            and not served
+            and not self.has_upstream_ended(flow, request)
+        ):
+            self.record_violation(
                 'without trouble every request is served',
-                f'{request.outcome.value} {self.tell(flow)}',
+                f'{request.outcome.value} {self.describe(flow)}',
             )
 
-    def excused(self, flow: ClientFlow, request: Request) -> bool:
-        """Return True when the flow's upstream has ended with its flows."""
+    def has_upstream_ended(self, flow: ClientFlow, request: Request) -> bool:
+        """Return True if the flow's upstream ended before the request did."""
         upstream = self.upstreams.get(flow.echo)
         if upstream is None:
             return False
-        ended = self.ledger.ended.get(upstream.name)
+        ended = self.expected.ended.get(upstream.name)
         return ended is not None and ended <= request.ended_at
 
     def is_leaving(self, flow: ClientFlow) -> bool:
-        """Return True when the flow's upstream asks its clients to leave."""
+        """Return True if the flow's upstream is draining."""
         upstream = self.upstreams.get(flow.echo)
-        return upstream is not None and upstream.name in self.ledger.draining
+        return upstream is not None and upstream.name in self.expected.draining
 
-    def was_reset(self, flow: ClientFlow) -> None:
-        """Check a reset that no upstream has sent."""
+    def check_reset(self, flow: ClientFlow) -> None:
+        """Check a reset that a node sent."""
         self.checked['reset'] += 1
-        service, since = self.ledger.route(flow.key[3])
+        service, since = self.expected.route(flow.key[3])
         if not service or self.clock() - since < MANIFEST_SECONDS:
             return
         if not flow.open:
-            self.blame(
-                'no opening is refused while upstreams live', self.tell(flow)
+            self.record_violation(
+                'no opening is refused while upstreams live',
+                self.describe(flow),
             )
             return
         upstream = self.upstreams.get(flow.echo)
         if upstream is None or upstream.condition is not Condition.WELL:
             return
-        ended = self.ledger.ended.get(upstream.name, float('-inf'))
-        if self.clock() - self.stood_at < STOOD_SECONDS:
+        ended = self.expected.ended.get(upstream.name, float('-inf'))
+        if self.clock() - self.stalled_at < STALL_GRACE_SECONDS:
             return
         if self.clock() - ended > ENDED_SECONDS:
-            self.blame('a flow lives as long as its upstream', self.tell(flow))
+            self.record_violation(
+                'a flow lives as long as its upstream', self.describe(flow)
+            )
 
-    def tell(self, flow: ClientFlow) -> str:
-        """Name a flow and its upstream."""
+    def describe(self, flow: ClientFlow) -> str:
+        """Return the flow's id and its upstream's name."""
         upstream = self.upstreams.get(flow.echo)
         name = upstream.name if upstream else 'none'
         return f'{flow_id(flow.key)} on {name}'
 
-    def look_for_changes(self) -> None:
-        """Check that no packet was changed on its way."""
+    def check_corruption(self) -> None:
+        """Check that no upstream received a corrupted packet."""
         altered = sum(one.altered for one in self.upstreams.values())
         if altered:
-            self.blame('packets arrive as they were sent', f'{altered} packets')
+            self.record_violation(
+                'packets arrive as they were sent', f'{altered} packets'
+            )
--- a/burdocksill_lab/soak/plan.py
+++ b/burdocksill_lab/soak/plan.py
@@ -1,4 +1,4 @@
-"""Draw the troubles of a soak from its seed."""
+"""Plan of a soak: faults and changes, drawn from its seed."""
 
 import enum
 from random import Random
@@ -6,17 +6,17 @@
 
 import attrs
 
-# Troubles begin within the first part of a round and overlap; the rest is calm,
-# long enough to check what must hold again after 4 s without trouble.
-TROUBLED_SECONDS: Final = 5.0
+# Faults begin in the first part of a round and may overlap. The rest is free of
+# faults, to check the invariants that must hold again after 4 s without faults.
+FAULT_WINDOW_SECONDS: Final = 5.0
 ROUND_SECONDS: Final = 15.0
-LONGEST_SECONDS: Final = 3.0
-MOST_TROUBLES: Final = 5
-MOST_CHANGES: Final = 2
+MAX_FAULT_SECONDS: Final = 3.0
+MAX_FAULTS: Final = 5
+MAX_CHANGES: Final = 2
 
 
-class Kind(enum.StrEnum):
-    """Name what a soak brings about."""
+class FaultKind(enum.StrEnum):
+    """FaultKind of a fault or change."""
 
     # Processes, by signals.
     STOP = 'stop'
@@ -41,49 +41,56 @@
     # Upstreams.
     UPSTREAM_DARK = 'upstream dark'
     UPSTREAM_REUSED = 'upstream reused'
-    # What operators and teams do; it disturbs nothing.
+    # Changes by operators and teams, which must not disturb traffic.
     MANIFEST = 'manifest'
     STORM = 'storm'
     DOMAIN_OUT = 'domain out'
     RELEASE = 'release'
 
 
-CHANGES: Final = (Kind.MANIFEST, Kind.STORM, Kind.DOMAIN_OUT, Kind.RELEASE)
-TROUBLES: Final = tuple(kind for kind in Kind if kind not in CHANGES)
+CHANGES: Final = (
+    FaultKind.MANIFEST,
+    FaultKind.STORM,
+    FaultKind.DOMAIN_OUT,
+    FaultKind.RELEASE,
+)
+FAULTS: Final = tuple(kind for kind in FaultKind if kind not in CHANGES)
 
 
 @attrs.frozen(kw_only=True)
-class Trouble:
-    """Bring one thing about, some seconds after the soak began."""
+class PlannedFault:
+    """Fault or change at a time in seconds since the soak began."""
 
     at: float
-    kind: Kind
+    kind: FaultKind
     # Picks the node or upstream, modulo their number.
     target: int
     seconds: float
 
 
-def draw_plan(seed: int, rounds: int) -> list[Trouble]:
-    """Return what happens, in the order of time; the same for each seed."""
+def draw_plan(seed: int, rounds: int) -> list[PlannedFault]:
+    """Return the faults and changes by time; reproducible by seed."""
     rng = Random(seed)
-    plan: list[Trouble] = []
+    plan: list[PlannedFault] = []
     for number in range(rounds):
         began = number * ROUND_SECONDS
-        troubles = rng.choices(TROUBLES, k=rng.randint(1, MOST_TROUBLES))
-        changes = rng.choices(CHANGES, k=rng.randint(0, MOST_CHANGES))
+        troubles = rng.choices(FAULTS, k=rng.randint(1, MAX_FAULTS))
+        changes = rng.choices(CHANGES, k=rng.randint(0, MAX_CHANGES))
         plan.extend(
-            draw(rng, kind, began, TROUBLED_SECONDS - LONGEST_SECONDS)
+            draw(rng, kind, began, FAULT_WINDOW_SECONDS - MAX_FAULT_SECONDS)
             for kind in troubles
         )
         plan.extend(draw(rng, kind, began, ROUND_SECONDS) for kind in changes)
-    return sorted(plan, key=lambda trouble: trouble.at)
+    return sorted(plan, key=lambda fault: fault.at)
 
 
-def draw(rng: Random, kind: Kind, began: float, within: float) -> Trouble:
-    """Draw when, where and how long."""
-    return Trouble(
+def draw(
+    rng: Random, kind: FaultKind, began: float, within: float
+) -> PlannedFault:
+    """Draw the time, target and duration of a fault."""
+    return PlannedFault(
         at=round(began + rng.uniform(0, within), 3),
         kind=kind,
         target=rng.randrange(1 << 16),
-        seconds=round(rng.uniform(0.3, LONGEST_SECONDS), 3),
+        seconds=round(rng.uniform(0.3, MAX_FAULT_SECONDS), 3),
     )
--- a/burdocksill_lab/soak/processes.py
+++ b/burdocksill_lab/soak/processes.py
@@ -1,53 +1,57 @@
-"""Check the processes of a soak: that they run, stay small and write logs."""
+"""Checks of a soak's processes: exits, memory use and log lines."""
 
 import json
 import os
 from pathlib import Path
 from typing import Final
 
-from burdocksill_lab.soak.day import SoakDay
+from burdocksill_lab.soak.day import SoakDeployment
 
 MEGABYTE: Final = 1 << 20
-# Twice of what a node holds after a minute of traffic.
-MOST_MEGABYTES: Final = 64
+# Twice the resident memory of a node after a minute of traffic.
+MAX_MEGABYTES: Final = 64
 PAGE_BYTES: Final = os.sysconf('SC_PAGE_SIZE')
 
 
-def check_processes(day: SoakDay) -> None:
-    """Look for processes that ended by themselves or grew."""
-    for node in day.nodes:
+def check_processes(deployment: SoakDeployment) -> None:
+    """Check for processes that ended unexpectedly or use too much memory."""
+    for node in deployment.nodes:
         process = node.process.process
         if node.is_down or process is None:
             continue
         code = process.poll()
         if code is None:
-            check_memory(day, node.process.host, process.pid)
+            check_memory(deployment, node.process.host, process.pid)
             continue
         node.is_down = True
-        told = f'{node.process.host} ended with {code}'
-        day.judge.blame('no process ends by itself', told)
+        trace = f'{node.process.host} ended with {code}'
+        deployment.checker.record_violation('no process ends by itself', trace)
 
 
-def check_memory(day: SoakDay, host: str, pid: int) -> None:
-    """Look at the size of a process."""
+def check_memory(deployment: SoakDeployment, host: str, pid: int) -> None:
+    """Check the resident memory of a process."""
     pages = int(Path(f'/proc/{pid}/statm').read_text().split()[1])
     size = pages * PAGE_BYTES / MEGABYTE
-    if size > MOST_MEGABYTES:
-        day.judge.blame('memory is bounded', f'{host} holds {size:.0f} MB')
+    if size > MAX_MEGABYTES:
+        deployment.checker.record_violation(
+            'memory is bounded', f'{host} holds {size:.0f} MB'
+        )
 
 
-def check_logs(day: SoakDay) -> None:
-    """Look for log lines that are none."""
-    for node in day.nodes:
+def check_logs(deployment: SoakDeployment) -> None:
+    """Check that every log line is JSON."""
+    for node in deployment.nodes:
         for line in node.process.log_path.read_text().splitlines():
             if not is_json(line):
-                told = f'{node.process.host}: {line}'
-                day.judge.blame('each log line is JSON', told)
+                trace = f'{node.process.host}: {line}'
+                deployment.checker.record_violation(
+                    'each log line is JSON', trace
+                )
                 break
 
 
 def is_json(line: str) -> bool:
-    """Return True for a line that can be read."""
+    """Return True if a line is valid JSON."""
     try:
         json.loads(line)
     except ValueError:
--- a/burdocksill_lab/soak/troubles.py
+++ b/burdocksill_lab/soak/troubles.py
@@ -1,4 +1,4 @@
-"""Bring the troubles of a plan about, each in a task of its own."""
+"""Inject the faults of a plan, each in its own task."""
 
 import signal
 from collections.abc import Awaitable, Callable, Mapping
@@ -10,112 +10,120 @@
 import trio
 
 from burdocksill.platform.records import UPSTREAMS
-from burdocksill_lab.packets.store import Trouble as StoreTrouble
+from burdocksill_lab.packets.store import Trouble as StoreFault
 from burdocksill_lab.packets.upstream import LabUpstream
 from burdocksill_lab.packets.world import write_entry
 from burdocksill_lab.soak.changes import Changes
-from burdocksill_lab.soak.day import SoakDay, SoakNode, until
-from burdocksill_lab.soak.plan import CHANGES, Kind, Trouble
-from burdocksill_lab.soak.proxy import Harm
+from burdocksill_lab.soak.day import SoakDeployment, SoakNode, until
+from burdocksill_lab.soak.plan import CHANGES, FaultKind, PlannedFault
+from burdocksill_lab.soak.proxy import LinkFault
 
-# The platform starts a process again after this.
+# Delay after which the platform restarts a process.
 RESTART_SECONDS: Final = 0.5
 GRACE_SECONDS: Final = 6.0
 READY_SECONDS: Final = 20.0
 STEP_SECONDS: Final = 0.05
 SLOW_SECONDS: Final = 0.25
-# A lapsed entry is back within two seconds of the store's return.
-BACK_SECONDS: Final = 1.5
-LINKS: Final[Mapping[Kind, Harm]] = MappingProxyType(
+# Expired entries are registered again within two seconds of recovery.
+REREGISTER_SECONDS: Final = 1.5
+LINKS: Final[Mapping[FaultKind, LinkFault]] = MappingProxyType(
     {
-        Kind.LINK_DELAY: Harm.DELAY,
-        Kind.LINK_RESET: Harm.RESET,
-        Kind.LINK_ONE_WAY: Harm.ONE_WAY,
-        Kind.LINK_SILENT: Harm.SILENT,
+        FaultKind.LINK_DELAY: LinkFault.DELAY,
+        FaultKind.LINK_RESET: LinkFault.RESET,
+        FaultKind.LINK_ONE_WAY: LinkFault.ONE_WAY,
+        FaultKind.LINK_SILENT: LinkFault.SILENT,
     }
 )
-STORE: Final[Mapping[Kind, StoreTrouble]] = MappingProxyType(
+STORE: Final[Mapping[FaultKind, StoreFault]] = MappingProxyType(
     {
-        Kind.STORE_BUSY: StoreTrouble.BUSY,
-        Kind.STORE_SILENT: StoreTrouble.SILENT,
+        FaultKind.STORE_BUSY: StoreFault.BUSY,
+        FaultKind.STORE_SILENT: StoreFault.SILENT,
     }
 )
-Action = Callable[[Trouble], Awaitable[None]]
+Action = Callable[[PlannedFault], Awaitable[None]]
 
 
 @attrs.define(kw_only=True)
-class Troublemaker:
-    """Do to a day what its plan says."""
+class FaultInjector:
+    """Inject the faults of a plan into a deployment."""
 
-    day: SoakDay
+    deployment: SoakDeployment
     changes: Changes = attrs.field(init=False)
-    told: list[str] = attrs.field(factory=list)
+    injected: list[str] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
-        """Prepare what teams and operators do."""
-        self.changes = Changes(day=self.day)
+        """Create the changes that teams and operators make."""
+        self.changes = Changes(deployment=self.deployment)
 
-    async def run(self, plan: list[Trouble], began: float) -> None:
-        """Start each trouble at its time; they overlap."""
+    async def run(self, plan: list[PlannedFault], began: float) -> None:
+        """Start each fault at its time; faults may overlap."""
         async with trio.open_nursery() as nursery:
-            for trouble in plan:
-                await trio.sleep_until(began + trouble.at)
-                nursery.start_soon(self.bring_about, trouble)
-
-    async def bring_about(self, trouble: Trouble) -> None:
-        """Carry out one trouble, and tell the judge while it lasts."""
-        at = f'{trouble.at:7.3f} {trouble.kind}'
-        self.told.append(f'{at} {trouble.target} for {trouble.seconds} s')
-        disturbs = trouble.kind not in CHANGES
-        if disturbs:
-            self.day.judge.begin()
+            for fault in plan:
+                await trio.sleep_until(began + fault.at)
+                nursery.start_soon(self.inject, fault)
+
+    async def inject(self, fault: PlannedFault) -> None:
+        """Inject one fault and report its duration to the checker."""
+        at = f'{fault.at:7.3f} {fault.kind}'
+        self.injected.append(f'{at} {fault.target} for {fault.seconds} s')
+        is_fault = fault.kind not in CHANGES
+        if is_fault:
+            self.deployment.checker.begin_fault()
         try:
-            await self.action(trouble.kind)(trouble)
-            if disturbs:
+            await self.action(fault.kind)(fault)
+            if is_fault:
                 await self.wait_until_ready()
         finally:
-            if disturbs:
-                self.day.judge.end()
+            if is_fault:
+                self.deployment.checker.end_fault()
 
-    def action(self, kind: Kind) -> Action:
-        """Return what brings a kind about."""
+    def action(self, kind: FaultKind) -> Action:
+        """Return the action that injects a kind of fault."""
         if kind in LINKS:
-            return self.harm_link
+            return self.inject_link_fault
         if kind in STORE:
-            return self.break_store
-        actions: dict[Kind, Action] = {
-            Kind.STOP: self.stop,
-            Kind.KILL: self.kill,
-            Kind.KILL_ALL: self.kill_all,
-            Kind.PAUSE: self.pause,
-            Kind.HANG_UP: self.hang_up,
-            Kind.STORE_SLOW: self.slow_store,
-            Kind.STORE_LAPSE: self.lapse,
-            Kind.STORE_COMPACT: self.compact,
-            Kind.PACKETS_LOST: partial(self.harm_packets, name='lost'),
-            Kind.PACKETS_DOUBLED: partial(self.harm_packets, name='doubled'),
-            Kind.UPSTREAM_DARK: self.changes.darken,
-            Kind.UPSTREAM_REUSED: self.changes.reuse,
-            Kind.MANIFEST: self.changes.toggle_route,
-            Kind.STORM: self.changes.storm,
-            Kind.DOMAIN_OUT: self.changes.take_out,
-            Kind.RELEASE: self.changes.release,
+            return self.inject_store_fault
+        actions: dict[FaultKind, Action] = {
+            FaultKind.STOP: self.stop,
+            FaultKind.KILL: self.kill,
+            FaultKind.KILL_ALL: self.kill_all,
+            FaultKind.PAUSE: self.pause,
+            FaultKind.HANG_UP: self.reload,
+            FaultKind.STORE_SLOW: self.slow_store,
+            FaultKind.STORE_LAPSE: self.expire_entries,
+            FaultKind.STORE_COMPACT: self.compact,
+            FaultKind.PACKETS_LOST: partial(
+                self.inject_packet_fault, name='lost'
+            ),
+            FaultKind.PACKETS_DOUBLED: partial(
+                self.inject_packet_fault, name='doubled'
+            ),
+            FaultKind.UPSTREAM_DARK: self.changes.fail_upstream,
+            FaultKind.UPSTREAM_REUSED: self.changes.reuse_address,
+            FaultKind.MANIFEST: self.changes.toggle_route,
+            FaultKind.STORM: self.changes.write_manifests,
+            FaultKind.DOMAIN_OUT: self.changes.take_out,
+            FaultKind.RELEASE: self.changes.release,
         }
         return actions[kind]
 
-    def node(self, trouble: Trouble) -> SoakNode:
-        """Return the node that a trouble is for."""
-        return self.day.nodes[trouble.target % len(self.day.nodes)]
+    def node(self, fault: PlannedFault) -> SoakNode:
+        """Return the target node of a fault."""
+        return self.deployment.nodes[fault.target % len(self.deployment.nodes)]
 
     async def wait_until_ready(self) -> None:
-        """Wait until routers use every node again."""
+        """Wait until all nodes are in rotation; else record a violation."""
         with trio.move_on_after(READY_SECONDS):
-            await until(self.day.are_ready, STEP_SECONDS)
+            await until(self.deployment.are_ready, STEP_SECONDS)
             return
-        self.day.judge.blame('a node is ready again', 'not after 20 s')
-
-    async def end(self, node: SoakNode, number: signal.Signals) -> None:
-        """End a process by a signal, and start it again."""
+        self.deployment.checker.record_violation(
+            'a node is ready again', 'not after 20 s'
+        )
+
+    async def restart_node(
+        self, node: SoakNode, number: signal.Signals
+    ) -> None:
+        """Stop a process by a signal and restart it."""
         if node.is_down:
             return
         node.is_down = True
@@ -127,93 +135,95 @@
         node.process.start()
         node.is_down = False
 
-    async def stop(self, trouble: Trouble) -> None:
-        """Stop a node as planned."""
-        await self.end(self.node(trouble), signal.SIGTERM)
+    async def stop(self, fault: PlannedFault) -> None:
+        """Stop a node by SIGTERM."""
+        await self.restart_node(self.node(fault), signal.SIGTERM)
 
-    async def kill(self, trouble: Trouble) -> None:
-        """Kill a node."""
-        await self.end(self.node(trouble), signal.SIGKILL)
+    async def kill(self, fault: PlannedFault) -> None:
+        """Stop a node by SIGKILL."""
+        await self.restart_node(self.node(fault), signal.SIGKILL)
 
-    async def kill_all(self, _: Trouble) -> None:
+    async def kill_all(self, _: PlannedFault) -> None:
         """Kill every node at once."""
         async with trio.open_nursery() as nursery:
-            for node in self.day.nodes:
-                nursery.start_soon(self.end, node, signal.SIGKILL)
+            for node in self.deployment.nodes:
+                nursery.start_soon(self.restart_node, node, signal.SIGKILL)
 
-    async def pause(self, trouble: Trouble) -> None:
-        """Let a process stand still."""
-        node = self.node(trouble)
+    async def pause(self, fault: PlannedFault) -> None:
+        """Suspend a process with SIGSTOP, then continue it."""
+        node = self.node(fault)
         if node.is_down:
             return
         node.process.signal(signal.SIGSTOP)
-        await trio.sleep(trouble.seconds)
+        await trio.sleep(fault.seconds)
         node.process.signal(signal.SIGCONT)
 
-    async def hang_up(self, trouble: Trouble) -> None:
-        """Tell a process to read its settings again.
+    async def reload(self, fault: PlannedFault) -> None:
+        """Send SIGHUP, so that a process reloads its settings.
 
-        While the interpreter itself starts, nothing can keep the signal from
-        ending the process; that is not what is asked here.
+        Waits until the process handles the signal: during the start of the
+        interpreter SIGHUP ends the process, which is not under test here.
         """
-        node = self.node(trouble)
-        with trio.move_on_after(trouble.seconds):
+        node = self.node(fault)
+        with trio.move_on_after(fault.seconds):
             await until(node.process.survives_hang_up, STEP_SECONDS)
             if not node.is_down:
                 node.process.signal(signal.SIGHUP)
 
-    async def break_store(self, trouble: Trouble) -> None:
-        """Let the store refuse or hold every call."""
-        self.day.store.trouble = STORE[trouble.kind]
-        await trio.sleep(trouble.seconds)
-        self.day.store.trouble = StoreTrouble.NONE
-
-    async def slow_store(self, trouble: Trouble) -> None:
-        """Let the store answer late."""
-        self.day.store.delay_seconds = SLOW_SECONDS
-        await trio.sleep(trouble.seconds)
-        self.day.store.delay_seconds = 0
-
-    async def lapse(self, trouble: Trouble) -> None:
-        """Take the store down while the upstreams' entries run out."""
-        self.day.store.trouble = StoreTrouble.SILENT
-        await trio.sleep(trouble.seconds)
-        kept = [
+    async def inject_store_fault(self, fault: PlannedFault) -> None:
+        """Let the store refuse every call, or leave it unanswered."""
+        self.deployment.store.trouble = STORE[fault.kind]
+        await trio.sleep(fault.seconds)
+        self.deployment.store.trouble = StoreFault.NONE
+
+    async def slow_store(self, fault: PlannedFault) -> None:
+        """Delay the answers of the store."""
+        self.deployment.store.delay_seconds = SLOW_SECONDS
+        await trio.sleep(fault.seconds)
+        self.deployment.store.delay_seconds = 0
+
+    async def expire_entries(self, fault: PlannedFault) -> None:
+        """Make the store unresponsive while the upstreams' entries expire."""
+        self.deployment.store.trouble = StoreFault.SILENT
+        await trio.sleep(fault.seconds)
+        registered = [
             upstream
-            for upstream in self.day.upstreams
-            if UPSTREAMS + upstream.name in self.day.store.items
+            for upstream in self.deployment.upstreams
+            if UPSTREAMS + upstream.name in self.deployment.store.items
         ]
-        for upstream in kept:
-            self.day.deregister(upstream)
-        self.day.store.trouble = StoreTrouble.NONE
-        await trio.sleep(BACK_SECONDS)
-        for upstream in kept:
-            self.register_again(upstream)
-
-    def register_again(self, upstream: LabUpstream) -> None:
-        """Write an entry anew, unless its upstream has ended meanwhile."""
-        ledger = self.day.judge.ledger
-        if upstream.name in ledger.ended:
+        for upstream in registered:
+            self.deployment.deregister(upstream)
+        self.deployment.store.trouble = StoreFault.NONE
+        await trio.sleep(REREGISTER_SECONDS)
+        for upstream in registered:
+            self.reregister(upstream)
+
+    def reregister(self, upstream: LabUpstream) -> None:
+        """Write an entry again, unless its upstream has ended meanwhile."""
+        expected = self.deployment.checker.expected
+        if upstream.name in expected.ended:
             return
-        leaving = upstream.name in ledger.draining
+        leaving = upstream.name in expected.draining
         state = 'draining' if leaving else 'ready'
-        write_entry(self.day.store.put, upstream, state)
-
-    async def compact(self, _: Trouble) -> None:
-        """Let the store forget its history."""
-        self.day.store.compact()
-
-    async def harm_link(self, trouble: Trouble) -> None:
-        """Harm a node's connections to the store."""
-        proxy = self.node(trouble).proxy
-        await proxy.set(LINKS[trouble.kind])
-        await trio.sleep(trouble.seconds)
-        # Bytes that were swallowed are gone: those connections stay silent.
-        await proxy.set(Harm.NONE)
-
-    async def harm_packets(self, trouble: Trouble, *, name: str) -> None:
-        """Lose or double a third of a node's packets."""
-        node = self.node(trouble)
+        write_entry(self.deployment.store.put, upstream, state)
+
+    async def compact(self, _: PlannedFault) -> None:
+        """Compact the store's history."""
+        self.deployment.store.compact()
+
+    async def inject_link_fault(self, fault: PlannedFault) -> None:
+        """Inject a fault into a node's connections to the store."""
+        proxy = self.node(fault).proxy
+        await proxy.set(LINKS[fault.kind])
+        await trio.sleep(fault.seconds)
+        # Dropped bytes are not sent again: those connections stay unresponsive.
+        await proxy.set(LinkFault.NONE)
+
+    async def inject_packet_fault(
+        self, fault: PlannedFault, *, name: str
+    ) -> None:
+        """Drop or duplicate a third of a node's packets."""
+        node = self.node(fault)
         setattr(node, name, 1 / 3)
-        await trio.sleep(trouble.seconds)
+        await trio.sleep(fault.seconds)
         setattr(node, name, 0)
--- a/tests/steps/lab_soak.py
+++ b/tests/steps/lab_soak.py
@@ -1,4 +1,4 @@
-"""Steps about the soak and its judge."""
+"""Steps about the soak and its checker."""
 
 import tempfile
 from pathlib import Path
@@ -11,44 +11,44 @@
 from burdocksill_lab.packets.network import DatagramNetwork, VirtualTimeline
 from burdocksill_lab.packets.upstream import Condition, LabUpstream
 from burdocksill_lab.soak.day import SoakSize
-from burdocksill_lab.soak.judge import Judge
+from burdocksill_lab.soak.judge import SoakChecker
 from burdocksill_lab.soak.plan import draw_plan
 from burdocksill_lab.soak.run import SoakSettings, play
 
-CUT_SHORT = 'answer cut short'
+TRUNCATED = 'answer cut short'
 
 PORT = 8443
 
 
 @when('the plan of seed {seed:d} is drawn twice for {rounds:d} rounds')
 def draw_twice(context: Context, seed: int, rounds: int) -> None:
-    """Draw plans."""
+    """Draw the same plan twice."""
     context.rounds = rounds
     context.plans = [draw_plan(seed, rounds) for _ in range(2)]
 
 
 @then('both are the same')
 def check_plans(context: Context) -> None:
-    """Compare."""
+    """Compare the two plans."""
     first, second = context.plans
     assert first
     assert first == second
 
 
-@then('the plan of seed {seed:d} is another')
+@then('the plan of seed {seed:d} differs')
 def check_other(context: Context, seed: int) -> None:
-    """Compare with another seed."""
+    """Compare with the plan of another seed."""
     assert draw_plan(seed, context.rounds) != context.plans[0]
 
 
-@given('a judge after {seconds:d} calm seconds')
+@given('a checker after {seconds:d} seconds without faults')
 def make_judge(context: Context, seconds: int) -> None:
-    """Prepare a judge that knows one upstream and one route."""
+    """Create a checker with one upstream and one route."""
     timeline = VirtualTimeline()
-    judge = Judge(clock=lambda: timeline.now)
-    judge.calm_since = timeline.now
-    judge.ledger.routes[PORT] = ('ledger', timeline.now)
-    judge.ledger.allowed[PORT] = {'ledger'}
+    checker = SoakChecker(clock=lambda: timeline.now)
+    checker.fault_free_since = timeline.now
+    checker.expected.routes[PORT] = ('ledger', timeline.now)
+    checker.expected.allowed[PORT] = {'ledger'}
     upstream = LabUpstream(
         name='i-0000000001',
         address=('10.2.0.1', 8080),
@@ -57,12 +57,12 @@
         timeline=timeline,
         network=DatagramNetwork(timeline=timeline),
         client_port=PORT,
-        on_open=judge.opened,
+        on_open=checker.check_opening,
     )
-    judge.upstreams[upstream.tag] = upstream
+    checker.upstreams[upstream.tag] = upstream
     timeline.run(seconds)
     context.timeline = timeline
-    context.judge = judge
+    context.checker = checker
     context.upstream = upstream
     context.flow = ClientFlow(
         key=(parse_ipv4('10.0.0.1'), 1024, parse_ipv4('198.18.0.1'), PORT),
@@ -73,33 +73,33 @@
     )
 
 
-def take_opening(context: Context) -> None:
-    """Let the upstream take an opening."""
+def receive_opening(context: Context) -> None:
+    """Send an opening packet to the upstream."""
     client, client_port, address, port = context.flow.key
     head = HEADER.pack(0, 0, 1, 0, client, port, client_port, address, 1, SYN)
     context.upstream.open(Packet(*HEADER.unpack(head)))
 
 
 def end_request(context: Context, outcome: Outcome) -> None:
-    """Let a request end now that was sent half a second ago."""
+    """Let a request end at the time at which it was sent."""
     now = context.timeline.now
     request = Request(sent_at=now, outcome=outcome, ended_at=now)
-    context.judge.finished(context.flow, request)
+    context.checker.check_request(context.flow, request)
 
 
 @when('an upstream of another service takes an opening')
-def open_other(context: Context) -> None:
-    """Open a flow at the wrong service."""
+def open_wrong_service(context: Context) -> None:
+    """Open a flow on an upstream of the wrong service."""
     context.upstream.service = 'desk'
-    take_opening(context)
+    receive_opening(context)
 
 
-@when('an upstream that drains for {seconds:f} seconds takes an opening')
+@when('an upstream draining for {seconds:f} seconds takes an opening')
 def open_draining(context: Context, seconds: float) -> None:
-    """Open a flow at an upstream that leaves."""
+    """Open a flow on a draining upstream."""
     since = context.timeline.now - seconds
-    context.judge.ledger.draining[context.upstream.name] = since
-    take_opening(context)
+    context.checker.expected.draining[context.upstream.name] = since
+    receive_opening(context)
 
 
 @when(
@@ -107,79 +107,79 @@
     'takes an opening',
 )
 def open_out(context: Context, seconds: float) -> None:
-    """Open a flow in a domain that was taken out."""
-    context.judge.ledger.out['a'] = context.timeline.now - seconds
-    take_opening(context)
+    """Open a flow in a domain that is out of service."""
+    context.checker.expected.domains_out['a'] = context.timeline.now - seconds
+    receive_opening(context)
 
 
-@when('a request on a route that went {seconds:f} seconds ago is served')
-def serve_gone(context: Context, seconds: float) -> None:
-    """Serve a request that no route allows."""
+@when('a request on a route removed {seconds:f} seconds ago is served')
+def serve_removed(context: Context, seconds: float) -> None:
+    """Serve a request whose route was removed."""
     since = context.timeline.now - seconds
-    context.judge.ledger.routes[PORT] = ('', since)
+    context.checker.expected.routes[PORT] = ('', since)
     end_request(context, Outcome.SERVED)
 
 
 @when('a request ends by its deadline')
 def miss_deadline(context: Context) -> None:
-    """Let a request fail in calm times."""
+    """Let a request miss its deadline while there is no fault."""
     end_request(context, Outcome.LATE)
 
 
-@when('a request ends by its deadline {seconds:d} seconds after a trouble')
-def miss_in_trouble(context: Context, seconds: int) -> None:
-    """Let a request fail shortly after a trouble."""
-    context.judge.begin()
-    context.judge.end()
+@when('a request ends by its deadline {seconds:d} seconds after a fault')
+def miss_deadline_after_fault(context: Context, seconds: int) -> None:
+    """Let a request miss its deadline shortly after a fault."""
+    context.checker.begin_fault()
+    context.checker.end_fault()
     context.timeline.run(seconds)
     end_request(context, Outcome.LATE)
 
 
 @when('a flow on a living upstream is reset')
 def reset_living(context: Context) -> None:
-    """Reset a flow."""
-    context.judge.was_reset(context.flow)
+    """Reset a flow whose upstream is running."""
+    context.checker.check_reset(context.flow)
 
 
-@when('a flow on a living upstream is reset after the soak stood still')
+@when('a flow on a living upstream is reset after the soak stalled')
 def reset_after_stall(context: Context) -> None:
-    """Let the soak's own process miss its turns, as all upstreams do then."""
-    context.judge.stood_still()
-    context.judge.was_reset(context.flow)
+    """Reset a flow after a stall of the soak process and its upstreams."""
+    context.checker.record_stall()
+    context.checker.check_reset(context.flow)
 
 
 @when('a flow on a dark upstream is reset')
 def reset_dark(context: Context) -> None:
-    """Reset a flow whose upstream is gone."""
+    """Reset a flow whose upstream has failed."""
     context.upstream.condition = Condition.DARK
-    context.judge.was_reset(context.flow)
+    context.checker.check_reset(context.flow)
 
 
 @when('an opening is refused')
 def refuse(context: Context) -> None:
-    """Reset a flow that never opened."""
+    """Reset a flow whose opening got no answer."""
     context.flow.open = False
-    context.judge.was_reset(context.flow)
+    context.checker.check_reset(context.flow)
 
 
-@when('an upstream takes a packet that was changed')
-def change_packet(context: Context) -> None:
-    """Count a changed packet."""
+@when('an upstream receives a corrupted packet')
+def corrupt_packet(context: Context) -> None:
+    """Count a corrupted packet."""
     context.upstream.altered += 1
-    context.judge.look_for_changes()
+    context.checker.check_corruption()
 
 
-@then('it says that "{promise}"')
+@then('it reports that "{promise}" was broken')
 def check_promise(context: Context, promise: str) -> None:
-    """Look at the violations."""
-    found = [one.promise for one in context.judge.violations]
+    """Check that exactly this violation was recorded."""
+    found = [one.promise for one in context.checker.violations]
     assert found == [promise], found
 
 
-@then('it says nothing')
-def check_silent(context: Context) -> None:
-    """Look for no violation."""
-    assert not context.judge.violations, context.judge.violations
+@then('it reports no violation')
+def check_no_violation(context: Context) -> None:
+    """Check that no violation was recorded."""
+    assert not context.checker.violations, context.checker.violations
 
 
 @when(
@@ -191,7 +191,7 @@
     minutes: float,
     nodes: int,
 ) -> None:
-    """Play a soak."""
+    """Run a soak."""
     settings = SoakSettings(seed=seed, minutes=minutes, nodes=nodes)
     context.report = play(settings)
 
@@ -208,7 +208,7 @@
     routes: int,
     link: int,
 ) -> None:
-    """Play a soak with large manifests over slow links."""
+    """Run a soak with large manifests over slow links."""
     context.logs = Path(tempfile.mkdtemp())
     context.report = play(
         SoakSettings(
@@ -224,12 +224,12 @@
     )
 
 
-@then('no answer of the store was cut short')
-def check_whole_answers(context: Context) -> None:
-    """Look for the line in the logs of all nodes."""
+@then('no answer of the store was truncated')
+def check_complete_answers(context: Context) -> None:
+    """Check that no node logged a truncated answer."""
     logs = list(context.logs.glob('*.log'))
-    cut = [log.name for log in logs if CUT_SHORT in log.read_text()]
-    assert logs and not cut, cut
+    truncated = [log.name for log in logs if TRUNCATED in log.read_text()]
+    assert logs and not truncated, truncated
 
 
 @when(
@@ -243,7 +243,7 @@
     nodes: int,
     guard: str,
 ) -> None:
-    """Play a soak of nodes without a guard."""
+    """Run a soak of nodes without a safeguard."""
     context.report = play(
         SoakSettings(seed=seed, minutes=minutes, nodes=nodes, without=guard),
     )
@@ -260,7 +260,7 @@
     minutes: float,
     nodes: int,
 ) -> None:
-    """Play a part of a soak."""
+    """Run some rounds of a soak."""
     context.report = play(
         SoakSettings(seed=seed, minutes=minutes, nodes=nodes, skipped=skip),
     )
@@ -268,14 +268,14 @@
 
 @then('no promise was broken')
 def check_report(context: Context) -> None:
-    """Look at the report."""
+    """Check that the report has no violations."""
     report = context.report
     assert not report.violations, (report.violations, report.troubles)
 
 
-@then('at least {count:d} requests were checked, unless the soak stood still')
-def check_checked(context: Context, count: int) -> None:
-    """Look at how much was checked; after a stall less is."""
+@then('at least {count:d} requests were checked, unless the soak stalled')
+def check_request_count(context: Context, count: int) -> None:
+    """Check the number of checked requests; a stall reduces it."""
     report = context.report
     enough = report.checked.get('request', 0) >= count
     assert enough or report.stalls, report.checked
@@ -283,6 +283,6 @@
 
 @then('"{promise}" was broken')
 def check_broken(context: Context, promise: str) -> None:
-    """Look for a violation."""
+    """Check that the report has this violation."""
     found = {one.promise for one in context.report.violations}
     assert promise in found, found
