--- a/tests/lab/load.feature
+++ b/tests/lab/load.feature
@@ -1,6 +1,6 @@
 Feature: A burst of load from the command line
 
-  Scenario: Callers with and without admission stand side by side
-    When a short burst is played with a plot
-    Then a line for each variant tells of feeds, offers and upstreams
-    And the plot is a picture
+  Scenario: Runs with and without admission are compared
+    When a short burst is run with a plot
+    Then a line for each variant reports feeds, offers and upstreams
+    And the plot is a PNG image
--- a/tests/steps/lab_load.py
+++ b/tests/steps/lab_load.py
@@ -1,4 +1,4 @@
-"""Steps that play a burst of load from the command line."""
+"""Steps that run a burst of load from the command line."""
 
 import tempfile
 from pathlib import Path
@@ -9,22 +9,22 @@
 
 from burdocksill_lab.main import group
 
-PNG = b'\x89PNG'
+PNG_SIGNATURE = b'\x89PNG'
 
 
-@when('a short burst is played with a plot')
-def play_burst(context: Context) -> None:
-    """Run the command."""
+@when('a short burst is run with a plot')
+def run_burst(context: Context) -> None:
+    """Run the load command with a plot."""
     context.plot = Path(tempfile.mkdtemp()) / 'load.png'
     arguments = ['--seeds=1', '--seconds=2', f'--plot={context.plot}']
-    context.ended = CliRunner().invoke(group, ['load', *arguments])
+    context.result = CliRunner().invoke(group, ['load', *arguments])
 
 
-@then('a line for each variant tells of feeds, offers and upstreams')
+@then('a line for each variant reports feeds, offers and upstreams')
 def check_lines(context: Context) -> None:
-    """Read what was printed."""
-    assert context.ended.exit_code == 0, context.ended.output
-    lines = context.ended.output.splitlines()
+    """Check the printed lines."""
+    assert context.result.exit_code == 0, context.result.output
+    lines = context.result.output.splitlines()
     names = [line.partition(',')[0] for line in lines]
     assert names == ['no admission', 'admission'], lines
     for line in lines:
@@ -32,7 +32,7 @@
         assert 'busiest upstream over mean' in line, line
 
 
-@then('the plot is a picture')
+@then('the plot is a PNG image')
 def check_plot(context: Context) -> None:
-    """Look at the file."""
-    assert context.plot.read_bytes().startswith(PNG)
+    """Check the signature of the file."""
+    assert context.plot.read_bytes().startswith(PNG_SIGNATURE)
