--- a/burdocksill_lab/soak/broken.py
+++ b/burdocksill_lab/soak/broken.py
@@ -17,7 +17,7 @@
     """Place new flows on draining upstreams."""
     original = upstreams.UpstreamRegistry.add_candidate
 
-    def place_draining(self: Any, known: Any) -> None:
+    def place(self: Any, known: Any) -> None:
         if known.record.state is UpstreamState.DRAINING:
             domains = self.by_service.setdefault(known.record.service, {})
             candidates = domains.setdefault(known.record.domain, {})
@@ -25,7 +25,7 @@
         original(self, known)
 
     upstreams.UpstreamRegistry.add_candidate = (  # type: ignore[method-assign]
-        place_draining
+        place
     )
 
 
