--- a/burdocksill/admin/app.py
+++ b/burdocksill/admin/app.py
@@ -90,7 +90,7 @@
         problem = Problem(
             code='burdocksill.E105',
             message=f'there is no page {path}',
-            hint='request /health, /status, /explain or /metrics',
+            hint='ask for /health, /status, /explain or /metrics',
         )
         return json_response(problem, status=HTTP_NOT_FOUND)
 
--- a/burdocksill/admin/explain.py
+++ b/burdocksill/admin/explain.py
@@ -26,11 +26,11 @@
             except ValueError as error:
                 raise QueryInvalidError(
                     message=f'{text!r} is not hexadecimal',
-                    hint='write it as burdocksill-call prints it',
+                    hint='write the bytes in hex, as burdocksill-call does',
                 ) from error
         if not (self.flow or self.cookie or any(self.tokens)):
             raise QueryInvalidError(
-                message='the query has no flow id, token or cookie',
+                message='nothing to explain was named',
                 hint='give a flow id, a token or a cookie',
             )
 
--- a/burdocksill/entry/domains.py
+++ b/burdocksill/entry/domains.py
@@ -87,7 +87,7 @@
             raise RequestFailedError(
                 verdict=self.unknown_epoch_policy.verdict(),
                 reason=Reason.DOMAIN_OUT,
-                message=f'{document.service}: all its domains are out',
+                message=f'{document.service} runs only in domains out',
             )
         self.place(envelope, document)
 
--- a/burdocksill/entry/router.py
+++ b/burdocksill/entry/router.py
@@ -339,7 +339,7 @@
         raise RequestFailedError(
             verdict=self.unknown_epoch_policy.verdict(),
             reason=Reason.OWNER_LOST,
-            message='the VM that held its epoch was lost',
+            message='the owner that knew this request is gone',
         )
 
     def accept_flow(self, envelope: Envelope, upstream: str) -> None:
--- a/burdocksill/flows/cookie.py
+++ b/burdocksill/flows/cookie.py
@@ -120,7 +120,7 @@
         if len(sealed) != COOKIE_BYTES:
             raise CookieInvalidError(
                 message=f'the cookie has {len(sealed)} bytes',
-                hint=f'send all {COOKIE_BYTES} bytes as they were received',
+                hint=f'return all {COOKIE_BYTES} bytes as they were given',
             )
         body, mac = sealed[: LAYOUT.size], sealed[LAYOUT.size :]
         fields = LAYOUT.unpack(body)
@@ -131,7 +131,7 @@
         ):
             raise CookieInvalidError(
                 message='the cookie was not signed for this service',
-                hint='send a request without a cookie to get a new one',
+                hint='ask for a new one by a request without a cookie',
             )
         return Cookie(
             upstream_tag=fields[1],
--- a/burdocksill/flows/keys.py
+++ b/burdocksill/flows/keys.py
@@ -63,8 +63,8 @@
         """Return the key ring; raise KeysMissingError without one."""
         if self.ring is None:
             raise KeysMissingError(
-                message='this VM has received no fleet keys yet',
-                hint='check that the platform or a peer is reachable',
+                message='this VM has learned no fleet keys yet',
+                hint='check that the platform or a peer can be reached',
             )
         return self.ring
 
--- a/burdocksill/ownership/fence.py
+++ b/burdocksill/ownership/fence.py
@@ -64,7 +64,7 @@
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
                 reason=Reason.OWNER_FENCED,
-                message='this owner was paused or lost its quorum',
+                message='this owner was paused or cut off just now',
                 retry_after_seconds=RECOVERY_SECONDS,
             )
 
--- a/burdocksill/ownership/local_requests.py
+++ b/burdocksill/ownership/local_requests.py
@@ -57,5 +57,5 @@
         raise RequestFailedError(
             verdict=answer.verdict,
             reason=Reason.ADDRESS_CHANGED,
-            message='use the cookie for your new address',
+            message='go on with the cookie for your new address',
         )
--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -309,7 +309,7 @@
         failure = RequestFailedError(
             verdict=Verdict.NOT_RUN,
             reason=Reason.TOKEN_REUSED,
-            message='token is in use by another request; use a new one',
+            message='this token stands for another request; use a new one',
         )
         self.send_answer(envelope, refusal(failure))
 
@@ -359,7 +359,7 @@
             failure = RequestFailedError(
                 verdict=self.unknown_epoch_policy.verdict(),
                 reason=reason,
-                message='the VM that held its epoch was lost',
+                message='the owner that knew this request is gone',
             )
             new_cookie = self.cookies.issue(cookie.flow_id, envelope.caller)
             self.send_answer(envelope, refusal(failure, cookie=new_cookie))
--- a/burdocksill/requests/blocks.py
+++ b/burdocksill/requests/blocks.py
@@ -118,7 +118,7 @@
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
                 reason=Reason.OVERLOADED,
-                message='too many large answers not yet fetched',
+                message='too many large answers wait to be fetched',
             )
 
     def first_block(
@@ -134,7 +134,7 @@
             raise RequestFailedError(
                 verdict=Verdict.RAN,
                 reason=Reason.ANSWER_TOO_LARGE,
-                message='no space for the answer among stored ones',
+                message='the answer does not fit beside those being fetched',
             )
         tagged = attrs.evolve(answer, etag=self.rng.randbytes(ETAG_BYTES))
         key = TransferKey(
@@ -158,7 +158,7 @@
             raise RequestFailedError(
                 verdict=Verdict.RAN,
                 reason=Reason.ANSWER_LOST,
-                message='the answer is not stored any more',
+                message='the answer is no longer kept here',
             )
         entry.used_at = trio.current_time()
         block = slice_block(entry.answer, request.block2)
@@ -166,7 +166,7 @@
             raise RequestFailedError(
                 verdict=Verdict.RAN,
                 reason=Reason.BAD_REQUEST,
-                message='block is beyond the answer',
+                message='the answer has fewer blocks',
             )
         if block.block2 is not None and not block.block2.more:
             entry.fetched = True
@@ -258,7 +258,7 @@
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
                 reason=Reason.BAD_REQUEST,
-                message=f'block {block.number} is not {block.size} bytes',
+                message=f'block {block.number} has not {block.size} bytes',
             )
         size = max(request.size1 or 0, block.start + len(request.payload))
         if size > self.max_body_bytes:
@@ -271,7 +271,7 @@
             raise RequestFailedError(
                 verdict=Verdict.NOT_RUN,
                 reason=Reason.OVERLOADED,
-                message='too many large bodies in transfer',
+                message='too many large bodies are on their way',
             )
         body = self.body(flow_id, request)
         if block.start not in body.blocks:
@@ -309,7 +309,7 @@
                 raise RequestFailedError(
                     verdict=Verdict.NOT_RUN,
                     reason=Reason.BODY_INCOMPLETE,
-                    message=f'no block of the body at {len(payload)}',
+                    message=f'the body lacks its bytes at {len(payload)}',
                 )
             payload.extend(block)
         return attrs.evolve(request, payload=bytes(payload))
--- a/burdocksill/requests/codec.py
+++ b/burdocksill/requests/codec.py
@@ -119,7 +119,7 @@
     is_complete = len(payload) >= HEADER_BYTES + token_bytes
     if token_bytes > MAX_TOKEN_BYTES or not is_complete:
         raise MalformedDatagramError(
-            message=f'{len(payload)} bytes, token length {token_bytes}',
+            message=f'{len(payload)} bytes with a token of {token_bytes}',
             hint='a token has at most 8 bytes (RFC 7252, section 3)',
         )
     try:
@@ -127,7 +127,7 @@
     except (CoapError, ValueError, IndexError, KeyError) as error:
         raise MalformedDatagramError(
             message=f'not a CoAP message: {error}',
-            hint='the datagram is counted and dropped',
+            hint='it is counted and dropped',
         ) from error
 
 
@@ -140,8 +140,8 @@
     message = decode_message(payload)
     if not message.code.is_request():
         raise MalformedDatagramError(
-            message=f'{message.code} is not a request',
-            hint='callers may send only requests',
+            message=f'{message.code} is no request',
+            hint='callers send requests only',
         )
     opt = message.opt
     request = CallerRequest(
@@ -199,7 +199,7 @@
         raise UnsupportedRequestError(
             request=request,
             coap_code='PROXYING_NOT_SUPPORTED',
-            message='not a forward proxy',
+            message='this is no forward proxy',
         )
     for number in critical:
         repeated = number not in REPEATABLE and critical.count(number) > 1
@@ -213,7 +213,7 @@
         raise UnsupportedRequestError(
             request=request,
             coap_code='BAD_REQUEST',
-            message='a block option is out of range',
+            message='a block option is out of its range',
         )
 
 
@@ -316,9 +316,7 @@
     """Decode an answer; return its token and the answer."""
     message = decode_message(payload)
     if not message.code.is_response():
-        raise MalformedDatagramError(
-            message=f'{message.code} is not a response'
-        )
+        raise MalformedDatagramError(message=f'{message.code} is no answer')
     opt = message.opt
     hops = option_bytes(message, OPTION_HOPS) or b''
     problem = Problem(verdict=Verdict.RAN, reason=None)
--- a/burdocksill/requests/exceptions.py
+++ b/burdocksill/requests/exceptions.py
@@ -24,7 +24,7 @@
     request: CallerRequest
     coap_code: str
     message: str
-    hint: str = 'see docs/reference/coap.md for supported options'
+    hint: str = 'see docs/reference/coap.md for what is understood'
 
 
 @attrs.define(kw_only=True)
--- a/burdocksill/requests/feeds.py
+++ b/burdocksill/requests/feeds.py
@@ -58,7 +58,7 @@
         raise RequestFailedError(
             verdict=Verdict.RAN,
             reason=Reason.FEED_REFUSED,
-            message='a feed line has no position or is too long',
+            message='a line of the feed has no position or is too long',
         )
     return FeedLine(position=int(position), payload=payload)
 
--- a/burdocksill/requests/window.py
+++ b/burdocksill/requests/window.py
@@ -27,7 +27,7 @@
     code='BAD_GATEWAY',
     verdict=Verdict.RAN,
     reason=Reason.ANSWER_DROPPED,
-    message='the request ran; its answer is not stored',
+    message='the request ran; its answer is no longer kept',
     max_age_seconds=0,
 )
 
