--- a/burdocksill/packets/upstreams.py
+++ b/burdocksill/packets/upstreams.py
@@ -238,13 +238,13 @@
         self.expired = []
         return popped
 
-    def add_candidate(self, known: KnownUpstream) -> None:
+    def add_candidate(self, upstream: KnownUpstream) -> None:
         """Make an upstream available to new flows if it is ready."""
-        record = known.record
+        record = upstream.record
         if record.state is UpstreamState.READY:
             domains = self.by_service.setdefault(record.service, {})
-            domains.setdefault(record.domain, {})[record.name] = known
-            known.limiter.slots += record.slots
+            domains.setdefault(record.domain, {})[record.name] = upstream
+            upstream.limiter.slots += record.slots
 
     def remove_candidate(self, upstream: KnownUpstream) -> None:
         """Make an upstream unavailable to new flows."""
--- a/burdocksill_lab/soak/broken.py
+++ b/burdocksill_lab/soak/broken.py
@@ -17,12 +17,12 @@
     """Place new flows on draining upstreams."""
     original = upstreams.UpstreamRegistry.add_candidate
 
-    def place(self: Any, known: Any) -> None:
-        if known.record.state is UpstreamState.DRAINING:
-            domains = self.by_service.setdefault(known.record.service, {})
-            candidates = domains.setdefault(known.record.domain, {})
-            candidates[known.record.name] = known
-        original(self, known)
+    def place(self: Any, upstream: Any) -> None:
+        if upstream.record.state is UpstreamState.DRAINING:
+            domains = self.by_service.setdefault(upstream.record.service, {})
+            candidates = domains.setdefault(upstream.record.domain, {})
+            candidates[upstream.record.name] = upstream
+        original(self, upstream)
 
     upstreams.UpstreamRegistry.add_candidate = (  # type: ignore[method-assign]
         place
