--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -23,7 +23,7 @@
 from burdocksill.packets.placement import PacketPlacer
 from burdocksill.packets.routing import RoutingTable
 from burdocksill.packets.upstreams import (
-    ABSENT_SECONDS,
+    REGISTRATION_GRACE_SECONDS,
     KnownUpstream,
     UpstreamRegistry,
 )
@@ -211,7 +211,7 @@
     def is_registry_settled(self, now: float) -> bool:
         """Return True when all expired entries had time to be restored."""
         since = self.upstreams.store_healthy_since
-        return since > 0 and now - since > ABSENT_SECONDS
+        return since > 0 and now - since > REGISTRATION_GRACE_SECONDS
 
     def refuse_overloaded(self, packet: Packet, route: Route) -> Verdict:
         """Reset an opening that no upstream would answer in time.
--- a/burdocksill/packets/upstreams.py
+++ b/burdocksill/packets/upstreams.py
@@ -16,7 +16,7 @@
 # A living upstream whose entry expired while the store was unavailable is
 # registered again within two seconds of the store's recovery. The rest is for
 # the delay until this node reads the entry.
-ABSENT_SECONDS: Final = 2.4
+REGISTRATION_GRACE_SECONDS: Final = 2.4
 # Flows may outlive their upstream's entry by at most the lifetime of a flow.
 RETENTION_SECONDS: Final = 90.0
 # An entry expires at most this long after its upstream last renewed its lease.
@@ -93,7 +93,7 @@
         if not self.absent_since:
             return RegistrationState.REGISTERED
         counted_from = max(self.absent_since, store_healthy_since)
-        if now - counted_from < ABSENT_SECONDS:
+        if now - counted_from < REGISTRATION_GRACE_SECONDS:
             return RegistrationState.EXPIRED
         return RegistrationState.GONE
 
