--- a/burdocksill/packets/flows.py
+++ b/burdocksill/packets/flows.py
@@ -125,7 +125,7 @@
         route = self.table.find((key[2], key[3]))
         return route.objective_seconds if route else 0
 
-    def join(
+    def track_existing(
         self,
         packet: Packet,
         upstream: KnownUpstream,
--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -240,7 +240,7 @@
             return self.without_upstream(packet, now)
         flow = self.flows.find(packet.flow)
         if flow is None or flow.upstream is not upstream:
-            flow = self.flows.join(packet, upstream, now)
+            flow = self.flows.track_existing(packet, upstream, now)
         if not flow.open:
             self.openings.record_answer(flow, now)
         self.flows.observe(packet, flow, now)
