--- a/burdocksill/packets/flows.py
+++ b/burdocksill/packets/flows.py
@@ -78,7 +78,7 @@
 class FlowTable:
     """Hold the flows that were started last, in the order of their start."""
 
-    __slots__ = ('answers', 'flows', 'is_backlogged', 'limit', 'table')
+    __slots__ = ('answer_times', 'flows', 'is_backlogged', 'limit', 'table')
 
     def __init__(
         self,
@@ -95,7 +95,9 @@
         # Holds the objectives of the routes.
         self.table: RoutingTable = RoutingTable() if table is None else table
         # Service and seconds of answers that the metrics have not read yet.
-        self.answers: deque[tuple[str, float]] = deque(maxlen=MAX_ANSWER_TIMES)
+        self.answer_times: deque[tuple[str, float]] = deque(
+            maxlen=MAX_ANSWER_TIMES
+        )
 
     def find(self, key: FlowKey) -> TrackedFlow | None:
         """Return a flow, or None if it is not tracked."""
@@ -225,7 +227,7 @@
         )
         if not flow.retransmitted:
             flow.upstream.health.record_answer_time(seconds)
-            self.answers.append((flow.upstream.record.service, seconds))
+            self.answer_times.append((flow.upstream.record.service, seconds))
 
     def end_wait(self, flow: TrackedFlow) -> None:
         """Stop counting a flow as waiting for an answer."""
--- a/burdocksill/packets/metrics.py
+++ b/burdocksill/packets/metrics.py
@@ -35,7 +35,7 @@
             self.counters.add(
                 'refused_for_load', increase, priority=str(priority)
             )
-        answers = self.core.forwarder.flows.answers
+        answers = self.core.forwarder.flows.answer_times
         while answers:
             service, seconds = answers.popleft()
             self.counters.record('answer', seconds, service=service)
