--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -136,7 +136,7 @@
 
     def expire_idle(self, now: float) -> None:
         """Expire idle flows, old upstreams and suspicions."""
-        self.updater.upstreams.forget_old(now)
+        self.updater.upstreams.remove_expired(now)
         self.updater.placer.outages.expire_suspicions(now)
         manifest = self.updater.table.manifest
         if manifest is not None:
--- a/burdocksill/packets/upstreams.py
+++ b/burdocksill/packets/upstreams.py
@@ -265,7 +265,7 @@
             self.expired.append(upstream)
         return True
 
-    def forget_old(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Remove upstreams that have been absent for RETENTION_SECONDS."""
         for name, upstream in list(self.by_name.items()):
             absent = upstream.absent_since
