--- a/burdocksill/packets/core.py
+++ b/burdocksill/packets/core.py
@@ -28,7 +28,7 @@
 # the store are not delayed by a flood of packets.
 BATCH_LIMIT: Final = 64
 # Half of the time after which a client retransmits unanswered data.
-BEHIND_SECONDS: Final = 0.1
+BACKLOG_SECONDS: Final = 0.1
 
 
 class PacketCore:
@@ -109,7 +109,7 @@
         the upstream answered long ago, so it must not count it as a failure.
         """
         since = self.backlogged_since
-        return since > 0 and now - since > BEHIND_SECONDS
+        return since > 0 and now - since > BACKLOG_SECONDS
 
     def handle(self, payload: bytes, now: float) -> None:
         """Apply the verdict on one packet."""
--- a/burdocksill_lab/soak/broken.py
+++ b/burdocksill_lab/soak/broken.py
@@ -46,7 +46,7 @@
 def count_backlogged_packets() -> None:
     """Count retransmissions that waited in this node as unanswered."""
     flows.MIN_RETRANSMIT_SECONDS = -1  # type: ignore[misc]
-    core.BEHIND_SECONDS = 1e9  # type: ignore[misc]
+    core.BACKLOG_SECONDS = 1e9  # type: ignore[misc]
 
 
 def corrupt_packets() -> None:
