--- a/burdocksill/packets/forwarder.py
+++ b/burdocksill/packets/forwarder.py
@@ -237,7 +237,7 @@
             return self.reset(packet, Reason.ROUTE_REMOVED)
         upstream = self.upstreams.by_echo.get(packet.echo)
         if upstream is None:
-            return self.without_upstream(packet, now)
+            return self.reject_unknown_echo(packet, now)
         flow = self.flows.find(packet.flow)
         if flow is None or flow.upstream is not upstream:
             flow = self.flows.track_existing(packet, upstream, now)
@@ -255,7 +255,7 @@
             return self.reset(packet, Reason.FLOW_SILENT, upstream)
         return self.forward(payload, upstream, Reason.FOLLOWED)
 
-    def without_upstream(self, packet: Packet, now: float) -> Verdict:
+    def reject_unknown_echo(self, packet: Packet, now: float) -> Verdict:
         """Reset a flow whose upstream is certainly unknown, else drop.
 
         The upstream may be newer than the last read of the store, or its entry
--- a/burdocksill_lab/soak/broken.py
+++ b/burdocksill_lab/soak/broken.py
@@ -40,7 +40,7 @@
     def reset(self: Any, packet: Any, _now: float) -> Any:
         return self.reset(packet, Reason.UNKNOWN_ECHO)
 
-    forwarding.Forwarder.without_upstream = reset  # type: ignore[method-assign,assignment]
+    forwarding.Forwarder.reject_unknown_echo = reset  # type: ignore[method-assign,assignment]
 
 
 def count_backlogged_packets() -> None:
