--- a/burdocksill/packets/store_probe.py
+++ b/burdocksill/packets/store_probe.py
@@ -42,7 +42,7 @@
         while True:
             await self.requested.wait()
             self.requested = trio.Event()
-            if await self.is_silent():
+            if await self.is_unreachable():
                 self.isolation.record_store_timeout(self.clock())
                 self.log_state('cut off, serves at home')
             else:
@@ -50,7 +50,7 @@
                 self.log_state('in touch with the store')
             await trio.sleep(PROBE_INTERVAL_SECONDS)
 
-    async def is_silent(self) -> bool:
+    async def is_unreachable(self) -> bool:
         """Return True when the store gives no answer, not even an error.
 
         The probe uses a new connection, as an old one may be dead.
--- a/tests/steps/packets_isolation.py
+++ b/tests/steps/packets_isolation.py
@@ -112,7 +112,7 @@
             fleet.store.trouble = Trouble(fault)
         sharing = fleet.nodes[0].store_sync.sharing
         assert sharing is not None
-        context.silent = await sharing.probe.is_silent()
+        context.silent = await sharing.probe.is_unreachable()
 
     act(context, step)
 
