--- a/burdocksill/packets/store_probe.py
+++ b/burdocksill/packets/store_probe.py
@@ -33,7 +33,7 @@
         factory=lambda: StateLogger(logger=logger)
     )
 
-    def suspect(self) -> None:
+    def request_probe(self) -> None:
         """Request a probe."""
         self.requested.set()
 
--- a/burdocksill/packets/sync.py
+++ b/burdocksill/packets/sync.py
@@ -218,7 +218,7 @@
         key=READERS + settings.domain,
         clock=runtime.clock,
     )
-    directory.placer.isolation.on_suspected = probe.suspect
+    directory.placer.isolation.on_suspected = probe.request_probe
     return Sharing(
         exchange=exchange,
         election_task=ElectionTask(
