--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -50,7 +50,7 @@
         """Return the seconds since the last synchronisation."""
         return self.clock() - self.synced_at
 
-    def reach(self, revision: int, synced_at: float) -> None:
+    def advance_to(self, revision: int, synced_at: float) -> None:
         """Record that all changes up to a revision and a time are known."""
         self.revision = max(self.revision, revision)
         self.synced_at = max(self.synced_at, synced_at)
@@ -147,7 +147,7 @@
                 self.key_bytes.pop(one.key, None)
             else:
                 self.key_bytes[one.key] = item_bytes(one)
-        self.progress.reach(newer.revision, synced_at)
+        self.progress.advance_to(newer.revision, synced_at)
         for listener in self.listeners:
             listener(before, newer)
 
--- a/tests/steps/readers_fleet.py
+++ b/tests/steps/readers_fleet.py
@@ -436,7 +436,7 @@
     """Create the sync progress of a node."""
     context.now = 100.0
     context.progress = SyncProgress(clock=lambda: context.now)
-    context.progress.reach(5, context.now)
+    context.progress.advance_to(5, context.now)
     assert SyncProgress().clock() > 0
 
 
