--- a/burdocksill/packets/updater.py
+++ b/burdocksill/packets/updater.py
@@ -95,19 +95,19 @@
             case UpstreamRemoval():
                 self.remove_upstream(update, now)
 
-    def apply_manifest(self, news: ManifestUpdate) -> None:
+    def apply_manifest(self, update: ManifestUpdate) -> None:
         """Apply a manifest if it is newer."""
         before = self.table.version
-        if self.table.adopt(news.manifest):
+        if self.table.adopt(update.manifest):
             logger.info(
                 'manifest in force',
                 extra={
-                    'version': news.manifest.version,
+                    'version': update.manifest.version,
                     'before': before,
-                    'routes': len(news.manifest.routes),
+                    'routes': len(update.manifest.routes),
                     'cold_per_s': {
                         name: limits.cold_per_second
-                        for name, limits in news.manifest.services.items()
+                        for name, limits in update.manifest.services.items()
                         if limits.cold_per_second
                     },
                 },
--- a/burdocksill_lab/soak/broken.py
+++ b/burdocksill_lab/soak/broken.py
@@ -63,9 +63,9 @@
     """Ignore every manifest after the first."""
     original = StateUpdater.apply_manifest
 
-    def apply_first(self: Any, news: Any) -> None:
+    def apply_first(self: Any, update: Any) -> None:
         if not self.table.version:
-            original(self, news)
+            original(self, update)
 
     StateUpdater.apply_manifest = apply_first  # type: ignore[method-assign]
 
