--- a/tests/steps/packets_power.py
+++ b/tests/steps/packets_power.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 from behave.runner import Context
 from packets_outages import deployment_of
-from packets_world import busiest, mark, world_of
+from packets_world import busiest, select_upstream, world_of
 
 from burdocksill.packets.upstreams import UpstreamRegistry
 from burdocksill.platform.records import UPSTREAMS
@@ -140,7 +140,7 @@
 def replace_crashed(context: Context) -> None:
     """Start another process before the entry of the old one expires."""
     world = world_of(context)
-    mark(context, busiest(context))
+    select_upstream(context, busiest(context))
     context.marked.condition = Condition.DARK
     world.run(0.1)
     world.replace_upstream(context.marked)
@@ -150,7 +150,7 @@
 def read_both_entries(context: Context) -> None:
     """Start a node that reads both entries."""
     world = world_of(context)
-    mark(context, busiest(context))
+    select_upstream(context, busiest(context))
     name = 'i-00000000ff'
     entry = {**context.marked.entry('ready'), 'born': 2}
     world.store[UPSTREAMS + name] = json.dumps(entry).encode()
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -71,7 +71,7 @@
     ]
 
 
-def mark(context: Context, upstream: LabUpstream) -> None:
+def select_upstream(context: Context, upstream: LabUpstream) -> None:
     """Select the upstream that the next steps refer to."""
     context.marked = upstream
     context.since = world_of(context).timeline.now
@@ -294,7 +294,7 @@
 @when('an upstream falls silent')
 def fall_silent(context: Context) -> None:
     """Make the upstream with the most flows unresponsive."""
-    mark(context, busiest(context))
+    select_upstream(context, busiest(context))
     context.marked.condition = Condition.DARK
 
 
@@ -316,7 +316,7 @@
 @when('its entry is removed for one upstream')
 def remove_one_entry(context: Context) -> None:
     """Remove the entry of a healthy upstream."""
-    mark(context, busiest(context))
+    select_upstream(context, busiest(context))
     world_of(context).deregister(context.marked)
 
 
@@ -343,7 +343,7 @@
 @when('an upstream drains')
 def drain(context: Context) -> None:
     """Set the state of an upstream to draining."""
-    mark(context, busiest(context))
+    select_upstream(context, busiest(context))
     world_of(context).register(context.marked, 'draining')
 
 
@@ -367,7 +367,7 @@
 @when('the entry of one upstream is overwritten with rubbish')
 def overwrite(context: Context) -> None:
     """Overwrite the entry of an upstream with invalid bytes."""
-    mark(context, busiest(context))
+    select_upstream(context, busiest(context))
     world_of(context).put(UPSTREAMS + context.marked.name, b'\xff\x00')
 
 
