--- a/tests/steps/packets_power.py
+++ b/tests/steps/packets_power.py
@@ -141,9 +141,9 @@
     """Start another process before the entry of the old one expires."""
     world = world_of(context)
     select_upstream(context, busiest(context))
-    context.marked.condition = Condition.DARK
+    context.selected.condition = Condition.DARK
     world.run(0.1)
-    world.replace_upstream(context.marked)
+    world.replace_upstream(context.selected)
 
 
 @when("another entry of an upstream's address is read together with its own")
@@ -152,7 +152,7 @@
     world = world_of(context)
     select_upstream(context, busiest(context))
     name = 'i-00000000ff'
-    entry = {**context.marked.entry('ready'), 'born': 2}
+    entry = {**context.selected.entry('ready'), 'born': 2}
     world.store[UPSTREAMS + name] = json.dumps(entry).encode()
     node = world.nodes.pop()
     node.alive = False
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -30,7 +30,7 @@
         context.packets = world
         context.flows = []
         context.fresh = []
-        context.marked = None
+        context.selected = None
         context.since = 0.0
     return context.packets
 
@@ -67,13 +67,13 @@
     return [
         flow
         for flow in context.flows
-        if flow.echo == context.marked.tag & 0xFFFFFFFF
+        if flow.echo == context.selected.tag & 0xFFFFFFFF
     ]
 
 
 def select_upstream(context: Context, upstream: LabUpstream) -> None:
     """Select the upstream that the next steps refer to."""
-    context.marked = upstream
+    context.selected = upstream
     context.since = world_of(context).timeline.now
 
 
@@ -137,7 +137,7 @@
     upstream = world.add_upstream(domain)
     entry = {**upstream.entry('ready'), 'WarmupMs': 5000}
     world.put(UPSTREAMS + upstream.name, json.dumps(entry).encode())
-    context.marked = upstream
+    context.selected = upstream
 
 
 @given(
@@ -295,7 +295,7 @@
 def fall_silent(context: Context) -> None:
     """Make the upstream with the most flows unresponsive."""
     select_upstream(context, busiest(context))
-    context.marked.condition = Condition.DARK
+    context.selected.condition = Condition.DARK
 
 
 @when('all upstreams fall silent and their entries are removed')
@@ -310,14 +310,14 @@
 @when('its entry is removed')
 def remove_entry(context: Context) -> None:
     """Remove the entry of the selected upstream."""
-    world_of(context).deregister(context.marked)
+    world_of(context).deregister(context.selected)
 
 
 @when('its entry is removed for one upstream')
 def remove_one_entry(context: Context) -> None:
     """Remove the entry of a healthy upstream."""
     select_upstream(context, busiest(context))
-    world_of(context).deregister(context.marked)
+    world_of(context).deregister(context.selected)
 
 
 @when('all entries lapse')
@@ -344,14 +344,14 @@
 def drain(context: Context) -> None:
     """Set the state of an upstream to draining."""
     select_upstream(context, busiest(context))
-    world_of(context).register(context.marked, 'draining')
+    world_of(context).register(context.selected, 'draining')
 
 
 @when('it starts again under its name')
 def start_again(context: Context) -> None:
     """Start a new process under the name of the old one."""
     world = world_of(context)
-    upstream = context.marked
+    upstream = context.selected
     upstream.restart()
     upstream.condition = Condition.WELL
     value = json.dumps(upstream.entry('ready', born=2)).encode()
@@ -368,7 +368,7 @@
 def overwrite(context: Context) -> None:
     """Overwrite the entry of an upstream with invalid bytes."""
     select_upstream(context, busiest(context))
-    world_of(context).put(UPSTREAMS + context.marked.name, b'\xff\x00')
+    world_of(context).put(UPSTREAMS + context.selected.name, b'\xff\x00')
 
 
 @when('the answers to one client are lost')
@@ -476,8 +476,8 @@
 @then('no flow on another upstream was ended')
 def check_others_open(context: Context) -> None:
     """Check that no flow of a healthy upstream was reset."""
-    marked = on_marked(context)
-    others = [flow for flow in context.flows if flow not in marked]
+    selected = on_marked(context)
+    others = [flow for flow in context.flows if flow not in selected]
     assert others
     assert not any(flow.ended for flow in others)
 
@@ -505,7 +505,7 @@
 @then('that upstream got no opening since')
 def check_no_opening(context: Context) -> None:
     """Check the times of the selected upstream's openings."""
-    late = [at for at in context.marked.opened if at > context.since]
+    late = [at for at in context.selected.opened if at > context.since]
     assert not late, late
 
 
@@ -544,7 +544,7 @@
 def check_cold(context: Context, count: int) -> None:
     """Count the openings in each window of a second."""
     world_of(context).run(SETTLE_SECONDS)
-    opened = context.marked.opened
+    opened = context.selected.opened
     most = max(
         sum(1 for other in opened if at <= other < at + 1) for at in opened
     )
@@ -554,7 +554,7 @@
 @then('it got at least {count:d} openings in all')
 def check_cold_used(context: Context, count: int) -> None:
     """Count the openings: the limit must not block all of them."""
-    got = len(context.marked.opened)
+    got = len(context.selected.opened)
     assert got >= count, got
 
 
@@ -598,7 +598,7 @@
             world.timeline.run(0.01)
     assert not flows.keys_on(node.core.updater.upstreams.by_name[upstream.name])
     upstream.condition = Condition.REFUSING
-    context.marked = upstream
+    context.selected = upstream
     upstream.opened.clear()
 
 
@@ -630,7 +630,7 @@
 @then('the refusing upstream got at most {count:d} openings')
 def check_refusing(context: Context, count: int) -> None:
     """Count the openings sent to the refusing upstream."""
-    got = len(context.marked.opened)
+    got = len(context.selected.opened)
     assert got <= count, got
 
 
