--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -62,7 +62,7 @@
         world.timeline.run(gap)
 
 
-def on_marked(context: Context) -> list[ClientFlow]:
+def flows_on_selected(context: Context) -> list[ClientFlow]:
     """Return the open flows on the scenario's selected upstream."""
     return [
         flow
@@ -398,7 +398,7 @@
 @when('{count:d} flow on it sends a request')
 def some_send(context: Context, count: int) -> None:
     """Send on a few flows of the selected upstream."""
-    flows = on_marked(context)
+    flows = flows_on_selected(context)
     assert len(flows) > count, len(flows)
     for flow in flows[:count]:
         flow.request()
@@ -467,7 +467,7 @@
 @then('all flows on it were ended by a node')
 def check_marked_reset(context: Context) -> None:
     """Check that all flows of the selected upstream were reset."""
-    flows = on_marked(context)
+    flows = flows_on_selected(context)
     assert flows
     kept = [flow.key for flow in flows if not flow.system_reset]
     assert not kept, f'{len(kept)} of {len(flows)} flows still open'
@@ -476,7 +476,7 @@
 @then('no flow on another upstream was ended')
 def check_others_open(context: Context) -> None:
     """Check that no flow of a healthy upstream was reset."""
-    selected = on_marked(context)
+    selected = flows_on_selected(context)
     others = [flow for flow in context.flows if flow not in selected]
     assert others
     assert not any(flow.ended for flow in others)
@@ -669,7 +669,7 @@
 @when('{count:d} flows on it send a request, one each {gap:f} seconds')
 def some_send_paced(context: Context, count: int, gap: float) -> None:
     """Send on a few flows of the selected upstream, at an interval."""
-    context.spread = on_marked(context)[:count]
+    context.spread = flows_on_selected(context)[:count]
     for flow in context.spread:
         flow.request()
         world_of(context).run(gap)
