--- a/tests/packets/flows.feature
+++ b/tests/packets/flows.feature
@@ -17,7 +17,7 @@
     # idempotent is then lost, as it can't be repeated.
     Given a domain "a" with 1 node and 2 upstreams
     And 16 open flows in "a"
-    When an upstream falls silent
+    When an upstream stops answering
     And 3 flows on it send a request
     And 0.8 seconds pass
     Then all flows on it were ended by a node
@@ -28,7 +28,7 @@
     # upstream, which now has the fewest flows.
     Given a domain "a" with 1 node and 2 upstreams
     And 16 open flows in "a"
-    When an upstream falls silent
+    When an upstream stops answering
     And 3 flows on it send a request
     And 0.8 seconds pass
     And 8 new flows in "a" send a request
@@ -69,7 +69,7 @@
     # The upstream with the fewest flows has just become unresponsive. Each new
     # flow would wait for its client's timeout of 1.4 s.
     Given a domain "a" with 1 node and 3 upstreams
-    When an upstream falls silent
+    When an upstream stops answering
     And 9 new flows in "a" send a request
     Then every new request is served within 0.3 seconds
 
@@ -108,7 +108,7 @@
     # earlier answers prove nothing about its present state.
     Given a domain "a" with 1 node and 2 upstreams
     And 16 open flows in "a"
-    When an upstream falls silent
+    When an upstream stops answering
     And the node of "a" is started anew
     And 4 flows on it send a request, one each 0.1 seconds
     And 0.8 seconds pass
@@ -145,7 +145,7 @@
     # of 3 s, and has time for another try if it is reset after 1.4 s.
     Given a domain "a" with 1 node and 2 upstreams
     And 2 open flows in "a" whose clients wait 3 seconds
-    When an upstream falls silent
+    When an upstream stops answering
     And every flow sends a request
     And 1.5 seconds pass
     Then all flows on it were ended by a node
--- a/tests/packets/registry.feature
+++ b/tests/packets/registry.feature
@@ -22,7 +22,7 @@
     # to it. After 2.4 s with a healthy store a living one would be registered.
     Given a domain "a" with 1 node and 2 upstreams
     And 8 open flows in "a"
-    When an upstream falls silent
+    When an upstream stops answering
     And its entry is removed
     And 3 seconds pass
     And 1 flow on it sends a request
@@ -80,7 +80,7 @@
   Scenario: An upstream that is restarted under its name is not ejected
     # It was ejected for unanswered openings; its new process is healthy.
     Given a domain "a" with 1 node and 1 upstream
-    When an upstream falls silent
+    When an upstream stops answering
     And 3 new flows in "a" send a request
     And 2 seconds pass
     And it starts again under its name
@@ -121,7 +121,7 @@
     Given a domain "a" with 1 node and 2 upstreams
     And 8 open flows in "a"
     When the node of "a" loses touch with the store for a moment
-    And an upstream falls silent
+    And an upstream stops answering
     And its entry is removed
     And 3 seconds pass
     And 1 flow on it sends a request
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -291,7 +291,7 @@
     node_of(context, domain).alive = False
 
 
-@when('an upstream falls silent')
+@when('an upstream stops answering')
 def fall_silent(context: Context) -> None:
     """Make the upstream with the most flows unresponsive."""
     select_upstream(context, busiest(context))
