--- a/tests/packets/registry.feature
+++ b/tests/packets/registry.feature
@@ -59,7 +59,7 @@
     # instead of waiting for their deadlines.
     Given a domain "a" with 1 node and 2 upstreams
     And 4 open flows in "a"
-    When all upstreams fall silent and their entries are removed
+    When all upstreams stop answering and their entries are removed
     And the node of "a" is started anew
     And 3 seconds pass
     And every flow sends a request
@@ -145,7 +145,7 @@
     # As above, but no entry comes back within the time that a living upstream
     # would need.
     Given a domain "a" with 1 node and 2 upstreams
-    When all upstreams fall silent and their entries are removed
+    When all upstreams stop answering and their entries are removed
     And the node of "a" is started anew
     And 3 seconds pass
     And 4 new flows in "a" send a request
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -298,7 +298,7 @@
     context.selected.condition = Condition.DARK
 
 
-@when('all upstreams fall silent and their entries are removed')
+@when('all upstreams stop answering and their entries are removed')
 def all_gone(context: Context) -> None:
     """Make all upstreams unresponsive and remove their entries."""
     world = world_of(context)
