--- a/tests/packets/registry.feature
+++ b/tests/packets/registry.feature
@@ -110,7 +110,7 @@
   Scenario: An upstream whose entry becomes unreadable gets no new flow
     # Its entry was overwritten by another program.
     Given a domain "a" with 1 node and 2 upstreams
-    When the entry of one upstream is overwritten with rubbish
+    When the entry of one upstream is overwritten with invalid bytes
     And 6 new flows in "a" send a request
     Then every request is served
     And that upstream got no opening since
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -364,7 +364,7 @@
     world_of(context).put(f'{UPSTREAMS}i-00000000ff', entry.encode())
 
 
-@when('the entry of one upstream is overwritten with rubbish')
+@when('the entry of one upstream is overwritten with invalid bytes')
 def overwrite(context: Context) -> None:
     """Overwrite the entry of an upstream with invalid bytes."""
     select_upstream(context, busiest(context))
