--- a/tests/packets/registry.feature
+++ b/tests/packets/registry.feature
@@ -120,7 +120,7 @@
     # flows must be reset as without the timeout.
     Given a domain "a" with 1 node and 2 upstreams
     And 8 open flows in "a"
-    When the node of "a" loses touch with the store for a moment
+    When the node of "a" briefly loses its connection to the store
     And an upstream stops answering
     And its entry is removed
     And 3 seconds pass
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -658,7 +658,7 @@
     world.run(SETTLE_SECONDS)
 
 
-@when('the node of "{domain}" loses touch with the store for a moment')
+@when('the node of "{domain}" briefly loses its connection to the store')
 def mark_store_unavailable(context: Context, domain: str) -> None:
     """Fail a call to the store, and deliver a change after it."""
     world = world_of(context)
