--- a/tests/packets/flows.feature
+++ b/tests/packets/flows.feature
@@ -120,7 +120,7 @@
     # that no upstream answered any of them.
     Given a domain "a" with 1 node and 3 upstreams
     And 12 open flows in "a"
-    When the node of "a" stands still
+    When the node of "a" is paused
     And every flow sends a request
     And 0.9 seconds pass
     And it goes on
@@ -132,7 +132,7 @@
     # As above, with openings and their copies at a start: packets that arrive
     # while the process imports its modules are read at once.
     Given a domain "a" with 1 node and 3 upstreams
-    When the node of "a" stands still
+    When the node of "a" is paused
     And 9 new flows in "a" send a request
     And 0.7 seconds pass
     And it goes on
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -682,7 +682,7 @@
     assert len(ended) == count, len(ended)
 
 
-@when('the node of "{domain}" stands still')
+@when('the node of "{domain}" is paused')
 def stand_still(context: Context, domain: str) -> None:
     """Pause a node."""
     context.still = node_of(context, domain)
