--- a/tests/packets/flows.feature
+++ b/tests/packets/flows.feature
@@ -123,7 +123,7 @@
     When the node of "a" is paused
     And every flow sends a request
     And 0.9 seconds pass
-    And it goes on
+    And it is resumed
     Then no flow was ended by a node
     And no upstream is put aside
     And every request is served
@@ -135,7 +135,7 @@
     When the node of "a" is paused
     And 9 new flows in "a" send a request
     And 0.7 seconds pass
-    And it goes on
+    And it is resumed
     Then no upstream is put aside
     And every request is served
 
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -689,7 +689,7 @@
     context.still.stands = True
 
 
-@when('it goes on')
+@when('it is resumed')
 def go_on(context: Context) -> None:
     """Resume the node with the packets that have arrived."""
     context.still.go_on()
