--- a/tests/packets/flows.feature
+++ b/tests/packets/flows.feature
@@ -109,7 +109,7 @@
     Given a domain "a" with 1 node and 2 upstreams
     And 16 open flows in "a"
     When an upstream stops answering
-    And the node of "a" is started anew
+    And the node of "a" is restarted
     And 4 flows on it send a request, one each 0.1 seconds
     And 0.8 seconds pass
     Then these 4 were ended by a node
--- a/tests/packets/registry.feature
+++ b/tests/packets/registry.feature
@@ -46,7 +46,7 @@
     Given a domain "a" with 1 node and 2 upstreams
     And 4 open flows in "a"
     When all entries lapse
-    And the node of "a" is started anew
+    And the node of "a" is restarted
     And every flow sends a request
     And 0.5 seconds pass
     Then no flow was ended by a node
@@ -60,7 +60,7 @@
     Given a domain "a" with 1 node and 2 upstreams
     And 4 open flows in "a"
     When all upstreams stop answering and their entries are removed
-    And the node of "a" is started anew
+    And the node of "a" is restarted
     And 3 seconds pass
     And every flow sends a request
     And 0.5 seconds pass
@@ -134,7 +134,7 @@
     # Clients would give up after a refusal, but retransmit without one.
     Given a domain "a" with 1 node and 2 upstreams
     When all entries lapse
-    And the node of "a" is started anew
+    And the node of "a" is restarted
     And 4 new flows in "a" send a request
     And 0.5 seconds pass
     Then no flow was ended by a node
@@ -146,7 +146,7 @@
     # would need.
     Given a domain "a" with 1 node and 2 upstreams
     When all upstreams stop answering and their entries are removed
-    And the node of "a" is started anew
+    And the node of "a" is restarted
     And 3 seconds pass
     And 4 new flows in "a" send a request
     And 0.1 seconds pass
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -275,7 +275,7 @@
     node.core.updater.mark_store_unavailable()
 
 
-@when('the node of "{domain}" is started anew')
+@when('the node of "{domain}" is restarted')
 def restart_node(context: Context, domain: str) -> None:
     """Replace a node by one that has only read the current store."""
     world = world_of(context)
