--- a/tests/reading_story.py
+++ b/tests/reading_story.py
@@ -49,7 +49,7 @@
     run_seeded(context.seed, main)
 
 
-def act(context: Context, step: Step) -> None:
+def add_step(context: Context, step: Step) -> None:
     """Add a step, which each later check runs."""
     context.script.steps.append(step)
 
@@ -57,7 +57,7 @@
 def check(context: Context, step: Step) -> None:
     """Run the script with a check, and add the check as a step."""
     run_script(context, step)
-    act(context, step)
+    add_step(context, step)
 
 
 def start_measuring(script: SimulationScript, fleet: SharedFleet) -> None:
--- a/tests/steps/packets_isolation.py
+++ b/tests/steps/packets_isolation.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 from behave.runner import Context
-from reading_story import act, check
+from reading_story import add_step, check
 
 from burdocksill_lab.packets.fleet import SharedFleet
 from burdocksill_lab.packets.outage import OutageDeployment
@@ -114,7 +114,7 @@
         assert sharing is not None
         context.silent = await sharing.probe.is_unreachable()
 
-    act(context, step)
+    add_step(context, step)
 
 
 @then('the probe finds it to be {found}')
--- a/tests/steps/readers_fleet.py
+++ b/tests/steps/readers_fleet.py
@@ -8,7 +8,7 @@
 from reading_story import (
     UPSTREAM_COUNT,
     SimulationScript,
-    act,
+    add_step,
     check,
     put_upstream,
     start_measuring,
@@ -33,7 +33,7 @@
     async def step(fleet: SharedFleet) -> None:
         fleet.network.faults.loss = share
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('{seconds:d} quiet seconds pass')
@@ -43,7 +43,7 @@
     async def step(fleet: SharedFleet) -> None:
         await fleet.run(seconds)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('a manifest is written')
@@ -53,7 +53,7 @@
     async def step(fleet: SharedFleet) -> None:
         fleet.put_version()
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('{count:d} manifests are written, one each {gap:d} seconds')
@@ -65,7 +65,7 @@
             fleet.put_version()
             await fleet.run(gap)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('a manifest of {routes:d} routes is written')
@@ -75,7 +75,7 @@
     async def step(fleet: SharedFleet) -> None:
         fleet.put_version(routes)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the reader of "{domain}" loses power')
@@ -85,7 +85,7 @@
     async def step(fleet: SharedFleet) -> None:
         fleet.kill(fleet.reader_of(domain))
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('all readers lose power')
@@ -97,7 +97,7 @@
             if node.is_reader:
                 fleet.kill(node)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the reader of "{domain}" is paused')
@@ -108,7 +108,7 @@
         context.script.selected = fleet.reader_of(domain)
         fleet.network.pause(context.script.selected.host)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the paused reader is resumed')
@@ -118,7 +118,7 @@
     async def step(fleet: SharedFleet) -> None:
         fleet.network.resume(context.script.selected.host)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the reader of "{domain}" is cut off from the store')
@@ -129,7 +129,7 @@
         context.script.selected = fleet.reader_of(domain)
         fleet.network.cut([context.script.selected.host], [STORE.host])
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the store refuses all readers')
@@ -140,7 +140,7 @@
         refused = {node.host for node in fleet.living() if node.is_reader}
         fleet.store.turned_away = refused
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the store refuses all nodes but the readers')
@@ -151,7 +151,7 @@
         refused = {node.host for node in fleet.living() if not node.is_reader}
         fleet.store.turned_away = refused
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('"{domain}" is cut off from the other domains')
@@ -163,7 +163,7 @@
         far = [n.host for n in fleet.nodes if n.settings.domain != domain]
         fleet.network.cut(near, far)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the store is down for {seconds:d} seconds')
@@ -175,7 +175,7 @@
         await fleet.run(seconds)
         fleet.store.trouble = Trouble.NONE
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the store\'s trouble is "{trouble}" for {seconds:d} seconds')
@@ -188,7 +188,7 @@
         await fleet.run(seconds)
         fleet.store.trouble = Trouble.NONE
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when("the store's open connections hang and its history is dropped")
@@ -200,7 +200,7 @@
         fleet.store.muted = fleet.store.connections
         fleet.store.compact()
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('{nodes:d} nodes in {domains:d} domains start together')
@@ -211,7 +211,7 @@
     async def step(_: SharedFleet) -> None:
         context.script.calls = 0
 
-    act(context, step)
+    add_step(context, step)
 
 
 @then('calls worth at most {most:d} were made')
@@ -242,7 +242,7 @@
         waiting.set()
         start_measuring(context.script, fleet)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the process of the reader of "{domain}" is killed and starts again')
@@ -256,7 +256,7 @@
         name = node.settings.name
         context.script.selected = await fleet.add_node(domain, name=name)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the reader of "{domain}" stops in an orderly way')
@@ -270,7 +270,7 @@
         await fleet.run(1)
         fleet.kill(node, silent=False)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the store answers each call {seconds:f} seconds late')
@@ -280,7 +280,7 @@
     async def step(fleet: SharedFleet) -> None:
         fleet.store.delay_seconds = seconds
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('the reader of "{domain}" stops during a renewal')
@@ -298,7 +298,7 @@
         await node.store_sync.leave()
         fleet.kill(node, silent=False)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @then('at most {count:d} calls a second were made')
--- a/tests/steps/readers_slow_links.py
+++ b/tests/steps/readers_slow_links.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 from behave.runner import Context
 from reading_story import (
-    act,
+    add_step,
     check,
     put_upstream,
 )
@@ -34,7 +34,7 @@
     async def step(fleet: SharedFleet) -> None:
         limit_links(fleet, megabits, readers=False)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @given('links of {megabits:d} Mbit/s for all nodes')
@@ -44,7 +44,7 @@
     async def step(fleet: SharedFleet) -> None:
         limit_links(fleet, megabits, readers=True)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('a manifest of {routes:d} routes is written {times:d} times')
@@ -81,7 +81,7 @@
             await fleet.run(seconds)
             fleet.put_version(routes)
 
-    act(context, step)
+    add_step(context, step)
 
 
 @when('an upstream starts to leave')
@@ -91,7 +91,7 @@
     async def step(fleet: SharedFleet) -> None:
         put_upstream(fleet, LEAVING, state='draining')
 
-    act(context, step)
+    add_step(context, step)
 
 
 @then('no node gives it new flows after {limit:f} seconds')
