--- a/tests/reading_story.py
+++ b/tests/reading_story.py
@@ -54,7 +54,7 @@
     context.script.steps.append(step)
 
 
-def check(context: Context, step: Step) -> None:
+def add_check(context: Context, step: Step) -> None:
     """Run the script with a check, and add the check as a step."""
     run_script(context, step)
     add_step(context, step)
--- a/tests/steps/packets_isolation.py
+++ b/tests/steps/packets_isolation.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 from behave.runner import Context
-from reading_story import add_step, check
+from reading_story import add_check, add_step
 
 from burdocksill_lab.packets.fleet import SharedFleet
 from burdocksill_lab.packets.outage import OutageDeployment
@@ -124,4 +124,4 @@
     async def step(_: SharedFleet) -> None:
         assert context.silent == (found == 'unreachable'), context.silent
 
-    check(context, step)
+    add_check(context, step)
--- a/tests/steps/readers_fleet.py
+++ b/tests/steps/readers_fleet.py
@@ -8,8 +8,8 @@
 from reading_story import (
     UPSTREAM_COUNT,
     SimulationScript,
+    add_check,
     add_step,
-    check,
     put_upstream,
     start_measuring,
 )
@@ -225,7 +225,7 @@
         worth = len(fleet.store.calls) - cheap * 0.9
         assert worth <= most, worth
 
-    check(context, step)
+    add_check(context, step)
 
 
 @when('upstreams change, one goes, and the history is dropped')
@@ -310,7 +310,7 @@
         rate = (len(fleet.store.calls) - context.script.calls) / seconds
         assert rate <= count, rate
 
-    check(context, step)
+    add_check(context, step)
 
 
 @then('at most {count:d} calls were made for it')
@@ -323,7 +323,7 @@
         made = sum(n for call, n in kinds.items() if 'keep' not in call)
         assert made <= count, kinds
 
-    check(context, step)
+    add_check(context, step)
 
 
 @then('at most {count:d} bytes a second went between nodes for each node')
@@ -336,7 +336,7 @@
         each = sent / seconds / len(fleet.nodes)
         assert each <= count, each
 
-    check(context, step)
+    add_check(context, step)
 
 
 @then("no node's data was older than {limit:f} seconds")
@@ -346,7 +346,7 @@
     async def step(fleet: SharedFleet) -> None:
         assert 0 < fleet.oldest <= limit, fleet.oldest
 
-    check(context, step)
+    add_check(context, step)
 
 
 @then('each domain has one reader')
@@ -360,7 +360,7 @@
         wanted = {f'd{n}': 1 for n in range(context.script.domains)}
         assert found == wanted, found
 
-    check(context, step)
+    add_check(context, step)
 
 
 @then('"{domain}" has another reader')
@@ -371,7 +371,7 @@
         reader = fleet.reader_of(domain)
         assert reader is not context.script.selected
 
-    check(context, step)
+    add_check(context, step)
 
 
 @then('the same node reads for "{domain}"')
@@ -381,7 +381,7 @@
     async def step(fleet: SharedFleet) -> None:
         assert fleet.reader_of(domain) is context.script.selected
 
-    check(context, step)
+    add_check(context, step)
 
 
 @then('it is in force on all nodes within {limit:f} seconds')
@@ -393,7 +393,7 @@
         shown = Counter(node.version for node in fleet.living())
         assert took <= limit, (took, shown, fleet.version)
 
-    check(context, step)
+    add_check(context, step)
 
 
 @then('it is in force on all nodes but the paused one within {limit:f} seconds')
@@ -409,7 +409,7 @@
         ]
         assert old in ([], [context.script.selected.settings.name]), old
 
-    check(context, step)
+    add_check(context, step)
 
 
 @then('all nodes know the upstreams of the store within {limit:f} seconds')
@@ -428,7 +428,7 @@
             found = {name for name, one in known if not one.absent_since}
             assert found == wanted, found ^ wanted
 
-    check(context, step)
+    add_check(context, step)
 
 
 @given('a node that has read the store')
--- a/tests/steps/readers_slow_links.py
+++ b/tests/steps/readers_slow_links.py
@@ -3,8 +3,8 @@
 from behave import given, then, when
 from behave.runner import Context
 from reading_story import (
+    add_check,
     add_step,
-    check,
     put_upstream,
 )
 
@@ -109,4 +109,4 @@
         ]
         assert not late, late
 
-    check(context, step)
+    add_check(context, step)
