--- a/tests/steps/packets_isolation.py
+++ b/tests/steps/packets_isolation.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 from behave.runner import Context
-from reading_story import add_check, add_step
+from reading_script import add_check, add_step
 
 from burdocksill_lab.packets.fleet import SharedFleet
 from burdocksill_lab.packets.outage import OutageDeployment
--- a/tests/steps/readers_fleet.py
+++ b/tests/steps/readers_fleet.py
@@ -5,7 +5,7 @@
 import trio
 from behave import given, then, when
 from behave.runner import Context
-from reading_story import (
+from reading_script import (
     UPSTREAM_COUNT,
     SimulationScript,
     add_check,
--- a/tests/steps/readers_slow_links.py
+++ b/tests/steps/readers_slow_links.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 from behave.runner import Context
-from reading_story import (
+from reading_script import (
     add_check,
     add_step,
     put_upstream,
