--- a/burdocksill/admin/report.py
+++ b/burdocksill/admin/report.py
@@ -56,7 +56,7 @@
 def member_lines(node: EntryNode) -> tuple[MemberStatus, ...]:
     """Return the members that this VM knows, ordered by domain and name."""
     members = sorted(
-        (entry.member for entry in node.membership.table.known.values()),
+        (entry.member for entry in node.membership.table.entries.values()),
         key=lambda member: (member.domain, member.name),
     )
     return tuple(
--- a/burdocksill/membership/beliefs.py
+++ b/burdocksill/membership/beliefs.py
@@ -67,7 +67,7 @@
         """Restart all suspicions: messages may have been missed in a pause."""
         self.counters.add('pauses_noticed')
         logger.warning('event loop was paused')
-        for entry in self.table.known.values():
+        for entry in self.table.entries.values():
             entry.since = now
         for domain in self.contacts.received_at:
             self.contacts.record_received(domain, now)
--- a/burdocksill/membership/broadcasts.py
+++ b/burdocksill/membership/broadcasts.py
@@ -54,7 +54,7 @@
     def limit(self) -> int:
         """Return how often one change is sent."""
         return RETRANSMIT_FACTOR * math.ceil(
-            math.log2(len(self.table.known) + 1)
+            math.log2(len(self.table.entries) + 1)
         )
 
     def states(self, first: tuple[bytes, ...]) -> bytes:
@@ -92,7 +92,7 @@
         chosen: list[bytes] = []
         for _ in range(count):
             if not self.rotation:
-                self.rotation = list(self.table.known)
+                self.rotation = list(self.table.entries)
             chosen.append(self.rotation.pop())
         return chosen
 
--- a/burdocksill/membership/table.py
+++ b/burdocksill/membership/table.py
@@ -48,7 +48,7 @@
     """Merge member states and notify listeners of changes."""
 
     local_member: Member
-    known: dict[bytes, MemberEntry] = attrs.field(factory=dict)
+    entries: dict[bytes, MemberEntry] = attrs.field(factory=dict)
     listeners: list[Callable[[], None]] = attrs.field(factory=list)
     owner_cache: dict[str, tuple[Member, ...]] = attrs.field(factory=dict)
     # Suspect and dead members, so that no tick walks through the whole fleet.
@@ -56,7 +56,7 @@
 
     def __attrs_post_init__(self) -> None:
         """Add the local member."""
-        self.known[self.local_member.tag] = MemberEntry(
+        self.entries[self.local_member.tag] = MemberEntry(
             member=self.local_member,
             since=-math.inf,
             received_at=math.inf,
@@ -64,11 +64,11 @@
 
     def find(self, tag: bytes) -> MemberEntry | None:
         """Return the entry of a member."""
-        return self.known.get(tag)
+        return self.entries.get(tag)
 
     def merge(self, offered: Member) -> bool:
         """Store an offered state if it supersedes the current one."""
-        entry = self.known.get(offered.tag)
+        entry = self.entries.get(offered.tag)
         if entry is not None and not supersedes(offered, entry.member):
             return False
         self.put(offered)
@@ -77,13 +77,13 @@
     def put(self, member: Member) -> None:
         """Store a member's state, and notify listeners of a visible change."""
         now = trio.current_time()
-        entry = self.known.get(member.tag)
+        entry = self.entries.get(member.tag)
         if member.state in UNHEALTHY_STATES:
             self.unhealthy.add(member.tag)
         else:
             self.unhealthy.discard(member.tag)
         if entry is None:
-            self.known[member.tag] = MemberEntry(member=member, since=now)
+            self.entries[member.tag] = MemberEntry(member=member, since=now)
             self.notify_change(member, 'unknown')
             return
         before = entry.member
@@ -120,19 +120,19 @@
 
     def remove(self, tag: bytes) -> None:
         """Remove a member."""
-        entry = self.known.pop(tag)
+        entry = self.entries.pop(tag)
         self.unhealthy.discard(tag)
         self.owner_cache.pop(entry.member.domain, None)
 
     def unhealthy_entries(self) -> list[MemberEntry]:
         """Return the suspect and dead members in a stable order."""
-        return [self.known[tag] for tag in sorted(self.unhealthy)]
+        return [self.entries[tag] for tag in sorted(self.unhealthy)]
 
     def of_domain(self, domain: str) -> list[MemberEntry]:
         """Return the entries of a domain's members, sorted by name."""
         found = [
             entry
-            for entry in self.known.values()
+            for entry in self.entries.values()
             if entry.member.domain == domain
         ]
         return sorted(found, key=lambda entry: entry.member.name)
@@ -151,7 +151,7 @@
 
     def domains(self) -> list[str]:
         """Return the domains of all known members, sorted."""
-        return sorted({entry.member.domain for entry in self.known.values()})
+        return sorted({entry.member.domain for entry in self.entries.values()})
 
 
 def supersedes(offered: Member, current: Member) -> bool:
