--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -114,7 +114,9 @@
             case Offer():
                 self.handle_offer(message, sender)
             case Observations():
-                self.observations.take(message.observations, sender)
+                self.observations.handle_observations(
+                    message.observations, sender
+                )
                 if self.observations.pending:
                     self.observations_ready.set()
 
--- a/burdocksill/readers/observations.py
+++ b/burdocksill/readers/observations.py
@@ -64,7 +64,7 @@
             self.reader is not None and self.reader.name == self.local_node.name
         )
 
-    def take(
+    def handle_observations(
         self, observations: Sequence[Observation], sender: Address
     ) -> None:
         """Merge observations of the reader, or as the reader of subscribers."""
--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -51,7 +51,9 @@
         """Handle a datagram of another node."""
         message = decode(payload, self.world.timeline.now)
         if isinstance(message, Observations) and self.node.alive:
-            self.exchange.take(message.observations, Address(*source))
+            self.exchange.handle_observations(
+                message.observations, Address(*source)
+            )
             if self.exchange.pending:
                 self.schedule_observations()
 
