--- a/burdocksill/admin/report.py
+++ b/burdocksill/admin/report.py
@@ -90,7 +90,7 @@
         epoch=current.epoch.hex() if current else '',
         tenure=owned.state.value,
         state=upstream_state(owned, store),
-        busy=owned.progress.running,
+        busy=owned.in_flight.running,
         limit=owned.admission.limiter.limit,
         slots=upstream.slots,
     )
--- a/burdocksill/ownership/handover.py
+++ b/burdocksill/ownership/handover.py
@@ -128,7 +128,7 @@
         # Most requests end within DRAIN_SECONDS. Those that have ended do not
         # add to the load of the successor's requests on the upstream.
         with trio.move_on_after(DRAIN_SECONDS):
-            await self.owned.progress.wait_idle()
+            await self.owned.in_flight.wait_idle()
         parts = build_parts(self.owned, self.transfer)
         self.pending_parts = {part.part: part for part in parts}
         last_progress = trio.current_time()
@@ -183,7 +183,7 @@
 
     async def resend_unacknowledged(self) -> None:
         """Resend answers until all are acknowledged or the timeout is over."""
-        await self.owned.progress.wait_idle()
+        await self.owned.in_flight.wait_idle()
         with trio.move_on_after(ACK_TIMEOUT_SECONDS):
             while self.unacknowledged:  # noqa: ASYNC110
                 await trio.sleep(RESEND_SECONDS)
--- a/burdocksill/ownership/owned.py
+++ b/burdocksill/ownership/owned.py
@@ -125,7 +125,7 @@
     domain_out: bool = False
     awaiting_handover: list[Envelope] = attrs.field(factory=list)
     cancellations: Cancellations = attrs.field(factory=Cancellations)
-    progress: InFlightRequests = attrs.field(factory=InFlightRequests)
+    in_flight: InFlightRequests = attrs.field(factory=InFlightRequests)
     # Called with the epoch, key and final answer of each dispatched request.
     on_settled: Callable[[bytes, RequestKey, Answer], None] | None = None
     feeds: FeedTable = attrs.field(
@@ -250,7 +250,7 @@
             self.settle(table, key, OVERLOADED)
             return
         with (
-            self.progress.track(),
+            self.in_flight.track(),
             self.counters.timed(
                 'request',
                 service=self.document.service,
--- a/burdocksill/ownership/table.py
+++ b/burdocksill/ownership/table.py
@@ -290,7 +290,7 @@
 
     async def close_when_idle(self, owned: OwnedUpstream) -> None:
         """Close a released upstream's connection after its last request."""
-        await owned.progress.wait_idle()
+        await owned.in_flight.wait_idle()
         owned.scope.cancel()
 
     async def stop(self) -> None:
@@ -304,7 +304,7 @@
                 else:
                     nursery.start_soon(self.hand_over, owned, successor)
             for owned in self.all_upstreams():
-                nursery.start_soon(owned.progress.wait_idle)
+                nursery.start_soon(owned.in_flight.wait_idle)
 
     def all_upstreams(self) -> list[OwnedUpstream]:
         """Return the owned and the released upstreams."""
