--- a/burdocksill/admin/report.py
+++ b/burdocksill/admin/report.py
@@ -37,7 +37,7 @@
         serving=serving,
         quorate=node.membership.quorate(),
         admin_port=settings.admin.port,
-        platform_answers=node.fleet.learner.reachable,
+        platform_answers=node.fleet.platform_watcher.reachable,
         key_id=ring.current if ring else None,
         members=member_lines(node),
         owned=owned_lines(node) if serving else (),
--- a/burdocksill/entry/fleet.py
+++ b/burdocksill/entry/fleet.py
@@ -44,7 +44,7 @@
     membership: SwimMembership = attrs.field(init=False)
     gossip: RecordGossip = attrs.field(init=False)
     hints: HintGossip = attrs.field(init=False)
-    learner: PlatformWatcher = attrs.field(init=False)
+    platform_watcher: PlatformWatcher = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Create the parts that need no running task."""
@@ -66,7 +66,7 @@
         self.membership.heartbeats.hints = self.hints
         selector = WatcherSelector(members=self.membership)
         self.membership.should_read_list = selector
-        self.learner = PlatformWatcher(
+        self.platform_watcher = PlatformWatcher(
             platform=self.platform,
             store=self.store,
             keys=self.keys,
@@ -81,8 +81,8 @@
         nursery: trio.Nursery,
     ) -> PeerChannel:
         """Load keys, members and documents; return the channel to peers."""
-        nursery.start_soon(self.learner.run)
-        await self.learner.keys_loaded.wait()
+        nursery.start_soon(self.platform_watcher.run)
+        await self.platform_watcher.keys_loaded.wait()
         channel = PeerChannel(
             socket=await network.open_datagrams(self.settings.peer),
             sealer=EnvelopeSealer(
@@ -91,7 +91,7 @@
                 clock=self.clock,
             ),
             counters=self.counters,
-            on_unknown_key=self.learner.request_keys,
+            on_unknown_key=self.platform_watcher.request_keys,
         )
         self.membership.heartbeats.attach(channel)
         self.gossip.attach(channel)
@@ -111,11 +111,14 @@
         if not self.gossip.in_sync.is_set():
             with trio.move_on_after(IN_SYNC_SECONDS):
                 await self.gossip.in_sync.wait()
-        if self.learner.synced.is_set() or self.gossip.in_sync.is_set():
+        if (
+            self.platform_watcher.synced.is_set()
+            or self.gossip.in_sync.is_set()
+        ):
             return
         logger.warning('waiting for documents: platform and peers unavailable')
         async with trio.open_nursery() as nursery:
-            for source in (self.learner.synced, self.gossip.in_sync):
+            for source in (self.platform_watcher.synced, self.gossip.in_sync):
                 nursery.start_soon(
                     cancel_when_set, source, nursery.cancel_scope
                 )
--- a/burdocksill/entry/main.py
+++ b/burdocksill/entry/main.py
@@ -77,7 +77,7 @@
         seeds=settings.seeds,
     )
     if settings.keys is not None:
-        node.fleet.learner.use_keys(settings.keys)
+        node.fleet.platform_watcher.use_keys(settings.keys)
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(serve_admin, node)
--- a/burdocksill_lab/fakes/world.py
+++ b/burdocksill_lab/fakes/world.py
@@ -118,7 +118,7 @@
         )
         running.node.fleet.seeds = seeds
         if ring is not None:
-            running.node.fleet.learner.use_keys(ring)
+            running.node.fleet.platform_watcher.use_keys(ring)
         self.nodes[name] = running
         nursery = self.require_nursery()
         nursery.start_soon(running.run)
