--- a/burdocksill/callers/feeds.py
+++ b/burdocksill/callers/feeds.py
@@ -47,7 +47,7 @@
     arrived: trio.Event = attrs.field(factory=trio.Event)
     answers: deque[Answer] = attrs.field(factory=deque)
 
-    def take(self, answer: Answer) -> None:
+    def handle(self, answer: Answer) -> None:
         """Queue a notification and wake the feed's task."""
         self.answers.append(answer)
         self.arrived.set()
--- a/burdocksill/callers/session.py
+++ b/burdocksill/callers/session.py
@@ -61,7 +61,7 @@
 class AnswerReceiver(Protocol):
     """Receive the answers that carry one token."""
 
-    def take(self, answer: Answer) -> None:
+    def handle(self, answer: Answer) -> None:
         """Receive one answer."""
 
 
@@ -72,7 +72,7 @@
     arrived: trio.Event = attrs.field(factory=trio.Event)
     answer: Answer | None = None
 
-    def take(self, answer: Answer) -> None:
+    def handle(self, answer: Answer) -> None:
         """Store the answer and wake the caller."""
         self.answer = answer
         self.arrived.set()
@@ -106,7 +106,7 @@
             return
         call = self.pending.get(token)
         if call is not None:
-            call.take(answer)
+            call.handle(answer)
 
     async def request(
         self,
--- a/tests/steps/requests_deadlines.py
+++ b/tests/steps/requests_deadlines.py
@@ -69,7 +69,7 @@
 
     context: Context
 
-    def take(self, answer: Answer) -> None:
+    def handle(self, answer: Answer) -> None:
         """Store one answer."""
         after = trio.current_time() - self.context.started
         self.context.answers.append((answer, after))
