--- a/burdocksill/entry/node.py
+++ b/burdocksill/entry/node.py
@@ -124,7 +124,7 @@
             make_window=self.components.window,
             successor_policy=self.components.successor_policy(),
         )
-        self.hints = HintTable(own=self.owners.hints)
+        self.hints = HintTable(local_hints=self.owners.hints)
         self.fleet.hints.source = self.hints
         self.fleet.hints.sink = self.hints
         self.router = Router(
--- a/burdocksill/upstreams/hints.py
+++ b/burdocksill/upstreams/hints.py
@@ -34,12 +34,12 @@
     """Store hints by upstream; implements HintSource and HintSink."""
 
     # Returns the hints of the upstreams that this VM owns.
-    own: Callable[[], tuple[UpstreamHint, ...]]
+    local_hints: Callable[[], tuple[UpstreamHint, ...]]
     stored: dict[HintKey, ReceivedHint] = attrs.field(factory=dict)
 
     def hints(self) -> tuple[UpstreamHint, ...]:
         """Return one hint for each owned upstream."""
-        return self.own()
+        return self.local_hints()
 
     def store_hints(self, owner: str, hints: tuple[UpstreamHint, ...]) -> None:
         """Store the hints that one owner has sent."""
@@ -60,7 +60,7 @@
 
     def refresh_local(self) -> None:
         """Store current hints of the upstreams that this VM owns."""
-        self.store_hints('', self.own())
+        self.store_hints('', self.local_hints())
 
     def record_placement(self, service: str, upstream: str) -> None:
         """Count a placement that the stored hint doesn't include yet."""
