--- a/burdocksill_lab/packets/power.py
+++ b/burdocksill_lab/packets/power.py
@@ -36,7 +36,7 @@
             node for node in world.nodes if node.domain == self.domain
         ]
         for node in self.nodes:
-            node.stands = True
+            node.is_paused = True
         world.timeline.after(ROTATION_SECONDS, self.leave_rotation)
         self.upstreams = self.deployment.in_domain(self.domain)
         spread = LAST_EXPIRY_SECONDS - FIRST_EXPIRY_SECONDS
@@ -49,7 +49,7 @@
     def leave_rotation(self) -> None:
         """Remove the nodes from rotation, so that routers use other domains."""
         for node in self.nodes:
-            node.stands = False
+            node.is_paused = False
             node.alive = False
             node.follows = False
             node.backlog.clear()
--- a/burdocksill_lab/packets/world.py
+++ b/burdocksill_lab/packets/world.py
@@ -68,12 +68,12 @@
     # False while the node is partitioned from the store.
     follows: bool = True
     # A paused node handles nothing; datagrams queue in `backlog`.
-    stands: bool = False
+    is_paused: bool = False
     backlog: list[bytes] = attrs.field(factory=list)
 
     def receive(self, payload: bytes, _: Address) -> None:
         """Handle a datagram at once, or queue it while the node is paused."""
-        if self.stands:
+        if self.is_paused:
             self.backlog.append(payload)
         elif self.alive:
             self.core.handle(payload, self.timeline.now)
@@ -87,12 +87,12 @@
 
     def expire_openings(self) -> None:
         """Expire overdue openings, as a node with an empty socket does."""
-        if self.alive and not self.stands:
+        if self.alive and not self.is_paused:
             self.core.expire_openings(self.timeline.now)
 
     def go_on(self) -> None:
         """Resume after a pause and handle the backlog at once."""
-        self.stands = False
+        self.is_paused = False
         for payload in self.backlog:
             self.core.handle(payload, self.timeline.now)
         self.backlog.clear()
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -686,7 +686,7 @@
 def stand_still(context: Context, domain: str) -> None:
     """Pause a node."""
     context.still = node_of(context, domain)
-    context.still.stands = True
+    context.still.is_paused = True
 
 
 @when('it is resumed')
