--- a/burdocksill_lab/packets/world.py
+++ b/burdocksill_lab/packets/world.py
@@ -90,7 +90,7 @@
         if self.alive and not self.is_paused:
             self.core.expire_openings(self.timeline.now)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Resume after a pause and handle the backlog at once."""
         self.is_paused = False
         for payload in self.backlog:
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -692,7 +692,7 @@
 @when('it is resumed')
 def go_on(context: Context) -> None:
     """Resume the node with the packets that have arrived."""
-    context.still.go_on()
+    context.still.resume()
 
 
 @then('no upstream is put aside')
