--- a/burdocksill_lab/packets/power.py
+++ b/burdocksill_lab/packets/power.py
@@ -51,7 +51,7 @@
         for node in self.nodes:
             node.is_paused = False
             node.alive = False
-            node.follows = False
+            node.receives_updates = False
             node.backlog.clear()
 
     def end(self) -> None:
--- a/burdocksill_lab/packets/world.py
+++ b/burdocksill_lab/packets/world.py
@@ -66,7 +66,7 @@
     timeline: Timeline
     alive: bool = True
     # False while the node is partitioned from the store.
-    follows: bool = True
+    receives_updates: bool = True
     # A paused node handles nothing; datagrams queue in `backlog`.
     is_paused: bool = False
     backlog: list[bytes] = attrs.field(factory=list)
@@ -241,7 +241,7 @@
         """Apply a change on all nodes that can reach the store."""
         snapshot = Snapshot(values=(change,), revision=self.revision)
         for node in self.nodes:
-            if node.follows:
+            if node.receives_updates:
                 node.core.store_cache.apply_changes(snapshot, self.timeline.now)
 
     def read_whole(self, node: LabNode) -> None:
@@ -301,7 +301,7 @@
         for _ in range(round(seconds * 10)):
             self.timeline.run(0.1)
             for node in self.nodes:
-                if node.follows and node.alive:
+                if node.receives_updates and node.alive:
                     node.core.progress.synced_at = self.timeline.now - 0.01
 
 
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -260,10 +260,10 @@
     """Put the domain back while the node receives no changes."""
     world = world_of(context)
     node = node_of(context, domain)
-    node.follows = False
+    node.receives_updates = False
     world.remove(DOMAINS_OUT + out)
     world.run(1.0)
-    node.follows = True
+    node.receives_updates = True
     world.read_whole(node)
 
 
@@ -271,7 +271,7 @@
 def partition_from_store(context: Context, domain: str) -> None:
     """Stop the changes of the store to a node, and fail its calls."""
     node = node_of(context, domain)
-    node.follows = False
+    node.receives_updates = False
     node.core.updater.mark_store_unavailable()
 
 
--- a/tests/steps/readers_exchange.py
+++ b/tests/steps/readers_exchange.py
@@ -515,7 +515,7 @@
     """Read the store once more, with two changes."""
     world = context.world
     before = {key: world.revision for key in world.store}
-    context.node.follows = False
+    context.node.receives_updates = False
     context.coming = world.add_upstream('a')
     world.deregister(context.going)
     found = Snapshot(
