--- a/burdocksill_lab/packets/world.py
+++ b/burdocksill_lab/packets/world.py
@@ -151,7 +151,7 @@
         )
         self.nodes.append(node)
         self.network.receivers[address] = node.receive
-        self.read_whole(node)
+        self.read_store(node)
         return node
 
     def add_upstream(
@@ -244,7 +244,7 @@
             if node.receives_updates:
                 node.core.store_cache.apply_changes(snapshot, self.timeline.now)
 
-    def read_whole(self, node: LabNode) -> None:
+    def read_store(self, node: LabNode) -> None:
         """Let a node read the full content of the store."""
         values = tuple(
             StoredValue(key=key, value=value, revision=self.revision)
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -264,7 +264,7 @@
     world.remove(DOMAINS_OUT + out)
     world.run(1.0)
     node.receives_updates = True
-    world.read_whole(node)
+    world.read_store(node)
 
 
 @when('the node of "{domain}" is partitioned from the store')
@@ -329,7 +329,7 @@
     for upstream in world.upstreams.values():
         del world.store[UPSTREAMS + upstream.name]
     for node in world.nodes:
-        world.read_whole(node)
+        world.read_store(node)
 
 
 @when('all entries are written again')
