--- a/burdocksill_lab/packets/outage.py
+++ b/burdocksill_lab/packets/outage.py
@@ -149,7 +149,7 @@
                     ends = (node.address[0], upstream.address[0])
                     self.world.network.cuts.add(frozenset(ends))
 
-    def come_back(self) -> None:
+    def restart_failed(self) -> None:
         """Start new processes for the failed upstreams."""
         for upstream in self.failed:
             upstream.condition = Condition.WELL
--- a/tests/steps/packets_outages.py
+++ b/tests/steps/packets_outages.py
@@ -85,7 +85,7 @@
 @when('they are started again as other processes')
 def restart_failed(context: Context) -> None:
     """Start new processes, then advance the time."""
-    context.deployment.come_back()
+    context.deployment.restart_failed()
     context.deployment.world.run(4)
 
 
