--- a/burdocksill_lab/packets/outage.py
+++ b/burdocksill_lab/packets/outage.py
@@ -69,7 +69,7 @@
     # Calls per second in each domain.
     rate: float
     # False for the control run without outage detection.
-    sees_outages: bool = True
+    detects_outages: bool = True
     # False: nodes use only their own observations.
     shares: bool = True
     # Maximum number of idle flows that the callers of a domain keep.
@@ -91,7 +91,7 @@
         for domain in self.names():
             for _ in range(self.nodes):
                 self.world.add_node(domain)
-        if not self.sees_outages:
+        if not self.detects_outages:
             for node in self.world.nodes:
                 node.core.updater.placer.outages = NoOutageDetector(
                     node.core.updater.upstreams,
--- a/tests/steps/packets_outages.py
+++ b/tests/steps/packets_outages.py
@@ -58,7 +58,7 @@
 @given('nodes ignore missed openings')
 def ignore_missed_openings(context: Context) -> None:
     """Select the control run without outage detection."""
-    context.deployment.sees_outages = False
+    context.deployment.detects_outages = False
 
 
 @given('nodes tell each other nothing')
