--- a/burdocksill_lab/packets/outage.py
+++ b/burdocksill_lab/packets/outage.py
@@ -71,7 +71,7 @@
     # False for the control run without outage detection.
     detects_outages: bool = True
     # False: nodes use only their own observations.
-    shares: bool = True
+    shares_observations: bool = True
     # Maximum number of idle flows that the callers of a domain keep.
     kept_flows: int = 10
     # True: callers pick idle flows at random, so that some are idle for long.
@@ -100,7 +100,7 @@
             probe = LabStoreProbe(node=node, answers=self.is_store_available)
             isolation = node.core.updater.placer.isolation
             isolation.on_suspected = probe.start_probe
-        if self.shares:
+        if self.shares_observations:
             self.peers = share_observations(self.world)
         for domain in self.names():
             callers = Callers(
--- a/tests/steps/packets_outages.py
+++ b/tests/steps/packets_outages.py
@@ -64,7 +64,7 @@
 @given('nodes tell each other nothing')
 def disable_sharing(context: Context) -> None:
     """Share no observations between nodes."""
-    context.deployment.shares = False
+    context.deployment.shares_observations = False
 
 
 @when('all upstreams of the first domain die for {seconds:d} seconds')
