--- a/burdocksill_lab/packets/load.py
+++ b/burdocksill_lab/packets/load.py
@@ -52,7 +52,7 @@
     # Maximum number of idle flows to keep; with 0 each call opens a new flow.
     most_idle: int = 10
     # True: pick one of `most_idle` slots at random; False: the last idle flow.
-    alike: bool = False
+    random_reuse: bool = False
     # Backoff before the first retry.
     pause_seconds: float = INITIAL_BACKOFF_SECONDS
     idle: list[ClientFlow] = attrs.field(factory=list)
@@ -113,7 +113,7 @@
 
         An index out of range asks for a new flow.
         """
-        if self.alike:
+        if self.random_reuse:
             return self.world.rng.randrange(self.most_idle)
         return len(self.idle) - 1
 
--- a/burdocksill_lab/packets/outage.py
+++ b/burdocksill_lab/packets/outage.py
@@ -75,7 +75,7 @@
     # Maximum number of idle flows that the callers of a domain keep.
     kept_flows: int = 10
     # True: callers pick idle flows at random, so that some are idle for long.
-    alike: bool = False
+    random_reuse: bool = False
     callers: list[Callers] = attrs.field(factory=list)
     peers: list[ObservationPeer] = attrs.field(factory=list)
     failed: list[LabUpstream] = attrs.field(factory=list)
@@ -109,7 +109,7 @@
                 rate=self.steady_rate,
                 pause_seconds=RETRY_SECONDS,
                 most_idle=self.kept_flows,
-                alike=self.alike,
+                random_reuse=self.random_reuse,
             )
             callers.start()
             self.callers.append(callers)
--- a/tests/steps/packets_power.py
+++ b/tests/steps/packets_power.py
@@ -25,7 +25,7 @@
     """Configure callers that keep flows and use each of them rarely."""
     deployment = context.deployment
     deployment.kept_flows = count
-    deployment.alike = True
+    deployment.random_reuse = True
     deployment.world.put_manifest(
         6,
         {ROUTE_PORT: 'ledger'},
