--- a/burdocksill_lab/packets/load.py
+++ b/burdocksill_lab/packets/load.py
@@ -50,8 +50,8 @@
     port: int = ROUTE_PORT
     deadline_seconds: float = 4.0
     # Maximum number of idle flows to keep; with 0 each call opens a new flow.
-    most_idle: int = 10
-    # True: pick one of `most_idle` slots at random; False: the last idle flow.
+    max_idle: int = 10
+    # True: pick one of `max_idle` slots at random; False: the last idle flow.
     random_reuse: bool = False
     # Backoff before the first retry.
     pause_seconds: float = INITIAL_BACKOFF_SECONDS
@@ -114,12 +114,12 @@
         An index out of range asks for a new flow.
         """
         if self.random_reuse:
-            return self.world.rng.randrange(self.most_idle)
+            return self.world.rng.randrange(self.max_idle)
         return len(self.idle) - 1
 
     def keep_flow(self, flow: ClientFlow) -> None:
         """Keep a flow for later calls, or close it if there are enough."""
-        if len(self.idle) < self.most_idle:
+        if len(self.idle) < self.max_idle:
             self.idle.append(flow)
         else:
             flow.close()
--- a/burdocksill_lab/packets/outage.py
+++ b/burdocksill_lab/packets/outage.py
@@ -108,7 +108,7 @@
                 domain=domain,
                 rate=self.steady_rate,
                 pause_seconds=RETRY_SECONDS,
-                most_idle=self.kept_flows,
+                max_idle=self.kept_flows,
                 random_reuse=self.random_reuse,
             )
             callers.start()
--- a/tests/steps/packets_reporters.py
+++ b/tests/steps/packets_reporters.py
@@ -120,7 +120,7 @@
     """Open a flow for each call, and record the domain of its upstream."""
     deployment = deployment_of(context)
     for one in deployment.callers:
-        one.most_idle = 0
+        one.max_idle = 0
     home = parse_ipv4(f'100.65.{sum(DOMAIN.encode()) % ADDRESSES}.0')
     context.opened = []
 
