--- a/burdocksill_lab/packets/power.py
+++ b/burdocksill_lab/packets/power.py
@@ -24,7 +24,7 @@
     deployment: OutageDeployment
     domain: str
     # False for the control run: new nodes get no updates from readers.
-    hears_readers: bool = True
+    receives_from_readers: bool = True
     nodes: list[LabNode] = attrs.field(factory=list)
     upstreams: list[LabUpstream] = attrs.field(factory=list)
 
@@ -62,7 +62,7 @@
         reader = next(node for node in world.nodes if node.alive)
         for _ in self.nodes:
             node = world.add_node(self.domain)
-            if self.hears_readers:
+            if self.receives_from_readers:
                 node.core.store_cache.apply_peer_changes(
                     Snapshot(values=(), revision=world.revision),
                     age=0,
--- a/tests/steps/packets_power.py
+++ b/tests/steps/packets_power.py
@@ -46,7 +46,7 @@
 @given('started nodes receive no report of readers')
 def disable_reports(context: Context) -> None:
     """Select the control run for the time after the power loss."""
-    context.hears_readers = False
+    context.receives_from_readers = False
 
 
 @when('the first domain loses power for {seconds:d} seconds')
@@ -60,7 +60,7 @@
     loss = PowerLoss(
         deployment=deployment,
         domain=DOMAIN,
-        hears_readers=getattr(context, 'hears_readers', True),
+        receives_from_readers=getattr(context, 'receives_from_readers', True),
     )
     loss.begin()
     deployment.world.run(seconds)
