--- a/burdocksill_lab/packets/sharing.py
+++ b/burdocksill_lab/packets/sharing.py
@@ -64,7 +64,7 @@
         self.world.network.send(payload, source, (peer.host, peer.port))
         return True
 
-    def claim(self, observations: list[Observation]) -> None:
+    def send_forged(self, observations: list[Observation]) -> None:
         """Send forged observations to the reader, as a faulty node does."""
         reader = self.exchange.reader
         assert reader is not None
