--- a/burdocksill_lab/packets/store.py
+++ b/burdocksill_lab/packets/store.py
@@ -90,7 +90,7 @@
     leases: dict[int, Lease] = attrs.field(factory=dict)
     leases_granted: int = 0
     # Client hosts whose connections are closed without an answer.
-    turned_away: set[str] = attrs.field(factory=set)
+    rejected_hosts: set[str] = attrs.field(factory=set)
     trouble: Trouble = Trouble.NONE
     delay_seconds: float = 0
     connections: int = 0
@@ -162,7 +162,7 @@
 
     async def serve(self, stream: trio.abc.Stream) -> None:
         """Answer the requests of one connection."""
-        if host_of(stream) in self.turned_away:
+        if host_of(stream) in self.rejected_hosts:
             await trio.aclose_forcefully(stream)
             return
         protocol = h11.Connection(h11.SERVER)
@@ -186,7 +186,7 @@
             request = await next_event(protocol, stream)
             if not isinstance(request, h11.Request):
                 return
-            if host_of(stream) in self.turned_away:
+            if host_of(stream) in self.rejected_hosts:
                 return
             body = await read_body(protocol, stream)
             reply = await self.answer(request, body)
--- a/tests/steps/readers_fleet.py
+++ b/tests/steps/readers_fleet.py
@@ -138,7 +138,7 @@
 
     async def step(fleet: SharedFleet) -> None:
         refused = {node.host for node in fleet.living() if node.is_reader}
-        fleet.store.turned_away = refused
+        fleet.store.rejected_hosts = refused
 
     add_step(context, step)
 
@@ -149,7 +149,7 @@
 
     async def step(fleet: SharedFleet) -> None:
         refused = {node.host for node in fleet.living() if not node.is_reader}
-        fleet.store.turned_away = refused
+        fleet.store.rejected_hosts = refused
 
     add_step(context, step)
 
