--- a/burdocksill_lab/packets/store.py
+++ b/burdocksill_lab/packets/store.py
@@ -95,7 +95,7 @@
     delay_seconds: float = 0
     connections: int = 0
     # Connections numbered up to this one get no more answers; newer ones do.
-    muted: int = 0
+    unanswered_up_to: int = 0
     # Bandwidth of the store's link; 0 is unlimited.
     bytes_per_second: float = 0
     calls: list[str] = attrs.field(factory=list)
@@ -192,7 +192,7 @@
             reply = await self.answer(request, body)
             if reply is None:
                 return
-            if number <= self.muted:
+            if number <= self.unanswered_up_to:
                 await trio.sleep_forever()
             encoded = write_reply(protocol, reply)
             if self.trouble is Trouble.HALF:
--- a/tests/steps/packets_isolation.py
+++ b/tests/steps/packets_isolation.py
@@ -8,7 +8,7 @@
 from burdocksill_lab.packets.outage import OutageDeployment
 from burdocksill_lab.packets.store import Trouble
 
-MUTED = 'muted'
+MUTED = 'unanswered_up_to'
 # Time for openings in transit when a domain is taken out of service.
 TRANSIT_SECONDS = 0.1
 
@@ -107,7 +107,7 @@
 
     async def step(fleet: SharedFleet) -> None:
         if fault == MUTED:
-            fleet.store.muted = fleet.store.connections
+            fleet.store.unanswered_up_to = fleet.store.connections
         else:
             fleet.store.trouble = Trouble(fault)
         sharing = fleet.nodes[0].store_sync.sharing
--- a/tests/steps/readers_fleet.py
+++ b/tests/steps/readers_fleet.py
@@ -197,7 +197,7 @@
 
     async def step(fleet: SharedFleet) -> None:
         start_measuring(context.script, fleet)
-        fleet.store.muted = fleet.store.connections
+        fleet.store.unanswered_up_to = fleet.store.connections
         fleet.store.compact()
 
     add_step(context, step)
