--- a/burdocksill_lab/packets/store.py
+++ b/burdocksill_lab/packets/store.py
@@ -91,7 +91,7 @@
     leases_granted: int = 0
     # Client hosts whose connections are closed without an answer.
     rejected_hosts: set[str] = attrs.field(factory=set)
-    trouble: Trouble = Trouble.NONE
+    injected_fault: Trouble = Trouble.NONE
     delay_seconds: float = 0
     connections: int = 0
     # Connections numbered up to this one get no more answers; newer ones do.
@@ -195,7 +195,7 @@
             if number <= self.unanswered_up_to:
                 await trio.sleep_forever()
             encoded = write_reply(protocol, reply)
-            if self.trouble is Trouble.HALF:
+            if self.injected_fault is Trouble.HALF:
                 await stream.send_all(encoded[: len(encoded) // 2])
                 await trio.sleep_forever()
             await self.send(stream, encoded)
@@ -219,22 +219,22 @@
         self.calls.append(target)
         await trio.sleep(self.delay_seconds)
         refused = await self.inject_fault()
-        if refused is not None or self.trouble is Trouble.RESET:
+        if refused is not None or self.injected_fault is Trouble.RESET:
             return refused
         parts = urlsplit(target)
         query = {name: last[-1] for name, last in parse_qs(parts.query).items()}
         reply = await self.handle(parts.path, query, body)
-        if self.trouble is Trouble.LOST and request.method == b'POST':
+        if self.injected_fault is Trouble.LOST and request.method == b'POST':
             await trio.sleep_forever()
         return reply
 
     async def inject_fault(self) -> HttpReply | None:
         """Return an error answer, or block, as the injected fault demands."""
-        if self.trouble is Trouble.SILENT:
+        if self.injected_fault is Trouble.SILENT:
             await trio.sleep_forever()
-        if self.trouble is Trouble.BUSY:
+        if self.injected_fault is Trouble.BUSY:
             return HttpReply(status=UNAVAILABLE)
-        if self.trouble is Trouble.MANY:
+        if self.injected_fault is Trouble.MANY:
             return HttpReply(status=TOO_MANY)
         return None
 
--- a/burdocksill_lab/soak/troubles.py
+++ b/burdocksill_lab/soak/troubles.py
@@ -172,9 +172,9 @@
 
     async def inject_store_fault(self, fault: PlannedFault) -> None:
         """Let the store refuse every call, or leave it unanswered."""
-        self.deployment.store.trouble = STORE[fault.kind]
+        self.deployment.store.injected_fault = STORE[fault.kind]
         await trio.sleep(fault.seconds)
-        self.deployment.store.trouble = StoreFault.NONE
+        self.deployment.store.injected_fault = StoreFault.NONE
 
     async def slow_store(self, fault: PlannedFault) -> None:
         """Delay the answers of the store."""
@@ -184,7 +184,7 @@
 
     async def expire_entries(self, fault: PlannedFault) -> None:
         """Make the store unresponsive while the upstreams' entries expire."""
-        self.deployment.store.trouble = StoreFault.SILENT
+        self.deployment.store.injected_fault = StoreFault.SILENT
         await trio.sleep(fault.seconds)
         registered = [
             upstream
@@ -193,7 +193,7 @@
         ]
         for upstream in registered:
             self.deployment.deregister(upstream)
-        self.deployment.store.trouble = StoreFault.NONE
+        self.deployment.store.injected_fault = StoreFault.NONE
         await trio.sleep(REREGISTER_SECONDS)
         for upstream in registered:
             self.reregister(upstream)
--- a/tests/steps/packets_isolation.py
+++ b/tests/steps/packets_isolation.py
@@ -109,7 +109,7 @@
         if fault == MUTED:
             fleet.store.unanswered_up_to = fleet.store.connections
         else:
-            fleet.store.trouble = Trouble(fault)
+            fleet.store.injected_fault = Trouble(fault)
         sharing = fleet.nodes[0].store_sync.sharing
         assert sharing is not None
         context.silent = await sharing.probe.is_unreachable()
--- a/tests/steps/packets_start.py
+++ b/tests/steps/packets_start.py
@@ -117,7 +117,7 @@
 
     async def work(day: LoopbackDay) -> None:
         await day.request_all(1, 0.2)
-        day.store.trouble = Trouble.SILENT
+        day.store.injected_fault = Trouble.SILENT
         await day.request_all(seconds, 1.0)
         day.open_flows(5)
         await day.request_all(1, 0.2)
@@ -524,7 +524,7 @@
 def make_silent_list(context: Context, count: int, page: int) -> None:
     """Make the store unresponsive."""
     make_list(context, count, page)
-    context.store.trouble = Trouble.SILENT
+    context.store.injected_fault = Trouble.SILENT
 
 
 @when('a node reads it at its start')
--- a/tests/steps/platform_store.py
+++ b/tests/steps/platform_store.py
@@ -177,7 +177,7 @@
 @when('the store\'s trouble is "{name}"')
 def set_trouble(context: Context, name: str) -> None:
     """Set the fault of the store."""
-    context.store.trouble = Trouble(name)
+    context.store.injected_fault = Trouble(name)
 
 
 @then('a reading fails with "{code}" within {limit:f} seconds')
@@ -207,7 +207,7 @@
 @when("a write's answer is lost")
 def lose_answer(context: Context) -> None:
     """Write while the store drops the answers to writes."""
-    context.store.trouble = Trouble.LOST
+    context.store.injected_fault = Trouble.LOST
 
     async def work(platform: StoreClient) -> Any:
         return await platform.compare_and_swap(
@@ -294,12 +294,12 @@
     context.delays = []
 
     async def outage(trouble: Trouble, version: int) -> None:
-        context.store.trouble = trouble
+        context.store.injected_fault = trouble
         await trio.sleep(0.5)
         put_version(context, version)
         if version > 4:
             context.store.compact()
-        context.store.trouble = Trouble.NONE
+        context.store.injected_fault = Trouble.NONE
         began = trio.current_time()
         for _ in range(250):
             if table.version >= version:
--- a/tests/steps/readers_fleet.py
+++ b/tests/steps/readers_fleet.py
@@ -171,9 +171,9 @@
     """Let the store answer nothing for a while."""
 
     async def step(fleet: SharedFleet) -> None:
-        fleet.store.trouble = Trouble.SILENT
+        fleet.store.injected_fault = Trouble.SILENT
         await fleet.run(seconds)
-        fleet.store.trouble = Trouble.NONE
+        fleet.store.injected_fault = Trouble.NONE
 
     add_step(context, step)
 
@@ -184,9 +184,9 @@
 
     async def step(fleet: SharedFleet) -> None:
         start_measuring(context.script, fleet)
-        fleet.store.trouble = Trouble(trouble)
+        fleet.store.injected_fault = Trouble(trouble)
         await fleet.run(seconds)
-        fleet.store.trouble = Trouble.NONE
+        fleet.store.injected_fault = Trouble.NONE
 
     add_step(context, step)
 
