--- a/burdocksill_lab/packets/store.py
+++ b/burdocksill_lab/packets/store.py
@@ -31,7 +31,7 @@
 LEASE_CHECK_SECONDS: Final = 0.05
 
 
-class Trouble(enum.Enum):
+class StoreFault(enum.Enum):
     """Fault that is injected into the store's answers."""
 
     NONE = 'none'
@@ -91,7 +91,7 @@
     leases_granted: int = 0
     # Client hosts whose connections are closed without an answer.
     rejected_hosts: set[str] = attrs.field(factory=set)
-    injected_fault: Trouble = Trouble.NONE
+    injected_fault: StoreFault = StoreFault.NONE
     delay_seconds: float = 0
     connections: int = 0
     # Connections numbered up to this one get no more answers; newer ones do.
@@ -195,7 +195,7 @@
             if number <= self.unanswered_up_to:
                 await trio.sleep_forever()
             encoded = write_reply(protocol, reply)
-            if self.injected_fault is Trouble.HALF:
+            if self.injected_fault is StoreFault.HALF:
                 await stream.send_all(encoded[: len(encoded) // 2])
                 await trio.sleep_forever()
             await self.send(stream, encoded)
@@ -219,22 +219,22 @@
         self.calls.append(target)
         await trio.sleep(self.delay_seconds)
         refused = await self.inject_fault()
-        if refused is not None or self.injected_fault is Trouble.RESET:
+        if refused is not None or self.injected_fault is StoreFault.RESET:
             return refused
         parts = urlsplit(target)
         query = {name: last[-1] for name, last in parse_qs(parts.query).items()}
         reply = await self.handle(parts.path, query, body)
-        if self.injected_fault is Trouble.LOST and request.method == b'POST':
+        if self.injected_fault is StoreFault.LOST and request.method == b'POST':
             await trio.sleep_forever()
         return reply
 
     async def inject_fault(self) -> HttpReply | None:
         """Return an error answer, or block, as the injected fault demands."""
-        if self.injected_fault is Trouble.SILENT:
+        if self.injected_fault is StoreFault.SILENT:
             await trio.sleep_forever()
-        if self.injected_fault is Trouble.BUSY:
+        if self.injected_fault is StoreFault.BUSY:
             return HttpReply(status=UNAVAILABLE)
-        if self.injected_fault is Trouble.MANY:
+        if self.injected_fault is StoreFault.MANY:
             return HttpReply(status=TOO_MANY)
         return None
 
@@ -398,4 +398,4 @@
     return out + (protocol.send(h11.EndOfMessage()) or b'')
 
 
-__all__ = ('READ_BYTES', 'LabStore', 'Trouble')
+__all__ = ('READ_BYTES', 'LabStore', 'StoreFault')
--- a/tests/steps/packets_isolation.py
+++ b/tests/steps/packets_isolation.py
@@ -6,7 +6,7 @@
 
 from burdocksill_lab.packets.fleet import SharedFleet
 from burdocksill_lab.packets.outage import OutageDeployment
-from burdocksill_lab.packets.store import Trouble
+from burdocksill_lab.packets.store import StoreFault
 
 MUTED = 'unanswered_up_to'
 # Time for openings in transit when a domain is taken out of service.
@@ -109,7 +109,7 @@
         if fault == MUTED:
             fleet.store.unanswered_up_to = fleet.store.connections
         else:
-            fleet.store.injected_fault = Trouble(fault)
+            fleet.store.injected_fault = StoreFault(fault)
         sharing = fleet.nodes[0].store_sync.sharing
         assert sharing is not None
         context.silent = await sharing.probe.is_unreachable()
--- a/tests/steps/packets_start.py
+++ b/tests/steps/packets_start.py
@@ -28,7 +28,7 @@
 from burdocksill_lab.commands.packets import UNKNOWN_PORT, restart_in_turn
 from burdocksill_lab.packets.client import Outcome
 from burdocksill_lab.packets.loopback import LoopbackDay, NodeProcess
-from burdocksill_lab.packets.store import LabStore, Trouble
+from burdocksill_lab.packets.store import LabStore, StoreFault
 from burdocksill_lab.packets.world import PacketWorld
 from burdocksill_lab.processes import free_port
 from tools.start_cost import ROOT, measure
@@ -117,7 +117,7 @@
 
     async def work(day: LoopbackDay) -> None:
         await day.request_all(1, 0.2)
-        day.store.injected_fault = Trouble.SILENT
+        day.store.injected_fault = StoreFault.SILENT
         await day.request_all(seconds, 1.0)
         day.open_flows(5)
         await day.request_all(1, 0.2)
@@ -524,7 +524,7 @@
 def make_silent_list(context: Context, count: int, page: int) -> None:
     """Make the store unresponsive."""
     make_list(context, count, page)
-    context.store.injected_fault = Trouble.SILENT
+    context.store.injected_fault = StoreFault.SILENT
 
 
 @when('a node reads it at its start')
--- a/tests/steps/platform_store.py
+++ b/tests/steps/platform_store.py
@@ -23,7 +23,7 @@
 from burdocksill.platform.calls import range_pages
 from burdocksill.platform.records import ALL_KEYS, MANIFEST, RecordDecoder
 from burdocksill.platform.store import StoreClient
-from burdocksill_lab.packets.store import LabStore, Trouble
+from burdocksill_lab.packets.store import LabStore, StoreFault
 
 MEGABIT_BYTES = 125_000
 
@@ -177,7 +177,7 @@
 @when('the store\'s trouble is "{name}"')
 def set_trouble(context: Context, name: str) -> None:
     """Set the fault of the store."""
-    context.store.injected_fault = Trouble(name)
+    context.store.injected_fault = StoreFault(name)
 
 
 @then('a reading fails with "{code}" within {limit:f} seconds')
@@ -207,7 +207,7 @@
 @when("a write's answer is lost")
 def lose_answer(context: Context) -> None:
     """Write while the store drops the answers to writes."""
-    context.store.injected_fault = Trouble.LOST
+    context.store.injected_fault = StoreFault.LOST
 
     async def work(platform: StoreClient) -> Any:
         return await platform.compare_and_swap(
@@ -293,13 +293,13 @@
     table = RoutingTable()
     context.delays = []
 
-    async def outage(trouble: Trouble, version: int) -> None:
+    async def outage(trouble: StoreFault, version: int) -> None:
         context.store.injected_fault = trouble
         await trio.sleep(0.5)
         put_version(context, version)
         if version > 4:
             context.store.compact()
-        context.store.injected_fault = Trouble.NONE
+        context.store.injected_fault = StoreFault.NONE
         began = trio.current_time()
         for _ in range(250):
             if table.version >= version:
@@ -335,7 +335,7 @@
             await trio.sleep(0.2)
             names = (one, two, three, 'none')
             for version, name in enumerate(names, start=2):
-                await outage(Trouble(name), version)
+                await outage(StoreFault(name), version)
             nursery.cancel_scope.cancel()
 
     with_store(context, work)
--- a/tests/steps/readers_fleet.py
+++ b/tests/steps/readers_fleet.py
@@ -17,7 +17,7 @@
 from burdocksill.packets.store_cache import SyncProgress
 from burdocksill.platform.records import UPSTREAMS
 from burdocksill_lab.packets.fleet import STORE, SharedFleet
-from burdocksill_lab.packets.store import Trouble
+from burdocksill_lab.packets.store import StoreFault
 
 
 @given('a fleet of {nodes:d} nodes in {domains:d} domains')
@@ -171,9 +171,9 @@
     """Let the store answer nothing for a while."""
 
     async def step(fleet: SharedFleet) -> None:
-        fleet.store.injected_fault = Trouble.SILENT
+        fleet.store.injected_fault = StoreFault.SILENT
         await fleet.run(seconds)
-        fleet.store.injected_fault = Trouble.NONE
+        fleet.store.injected_fault = StoreFault.NONE
 
     add_step(context, step)
 
@@ -184,9 +184,9 @@
 
     async def step(fleet: SharedFleet) -> None:
         start_measuring(context.script, fleet)
-        fleet.store.injected_fault = Trouble(trouble)
+        fleet.store.injected_fault = StoreFault(trouble)
         await fleet.run(seconds)
-        fleet.store.injected_fault = Trouble.NONE
+        fleet.store.injected_fault = StoreFault.NONE
 
     add_step(context, step)
 
