--- a/burdocksill_lab/soak/troubles.py
+++ b/burdocksill_lab/soak/troubles.py
@@ -10,7 +10,7 @@
 import trio
 
 from burdocksill.platform.records import UPSTREAMS
-from burdocksill_lab.packets.store import Trouble as StoreFault
+from burdocksill_lab.packets.store import StoreFault
 from burdocksill_lab.packets.upstream import LabUpstream
 from burdocksill_lab.packets.world import write_entry
 from burdocksill_lab.soak.changes import Changes
