--- a/burdocksill_lab/commands/packets.py
+++ b/burdocksill_lab/commands/packets.py
@@ -135,7 +135,7 @@
     """Let an upstream lose power."""
     await trio.sleep(TROUBLE_SECONDS)
     click.echo(f'{day.upstreams[0].name} falls silent')
-    day.upstreams[0].condition = Condition.DARK
+    day.upstreams[0].condition = Condition.UNRESPONSIVE
 
 
 async def use_unknown_port(day: LoopbackDay) -> None:
--- a/burdocksill_lab/packets/power.py
+++ b/burdocksill_lab/packets/power.py
@@ -41,7 +41,7 @@
         self.upstreams = self.deployment.in_domain(self.domain)
         spread = LAST_EXPIRY_SECONDS - FIRST_EXPIRY_SECONDS
         for number, upstream in enumerate(self.upstreams):
-            upstream.condition = Condition.DARK
+            upstream.condition = Condition.UNRESPONSIVE
             upstream.restart()
             delay = FIRST_EXPIRY_SECONDS + spread * number / len(self.upstreams)
             world.timeline.after(delay, partial(world.deregister, upstream))
--- a/burdocksill_lab/packets/upstream.py
+++ b/burdocksill_lab/packets/upstream.py
@@ -35,7 +35,7 @@
 
     WELL = 'well'
     # The process or its link is down: nothing is answered.
-    DARK = 'dark'
+    UNRESPONSIVE = 'dark'
     # The process has ended; its host answers each packet with a reset.
     REFUSING = 'refusing'
 
@@ -88,7 +88,7 @@
     def receive(self, payload: bytes, _: Address) -> None:
         """Handle a datagram whose tag names this process or is 0."""
         tag = TAG.unpack_from(payload)[0]
-        if self.condition is Condition.DARK or tag not in {0, self.tag}:
+        if self.condition is Condition.UNRESPONSIVE or tag not in {0, self.tag}:
             return
         packet = Packet(*HEADER.unpack_from(payload, TAG.size))
         self.altered += not is_intact(payload[TAG.size :])
--- a/burdocksill_lab/soak/changes.py
+++ b/burdocksill_lab/soak/changes.py
@@ -44,7 +44,7 @@
         upstream = self.pick_upstream(fault)
         if upstream is None:
             return
-        upstream.condition = Condition.DARK
+        upstream.condition = Condition.UNRESPONSIVE
         self.deployment.checker.expected.ended[upstream.name] = (
             self.deployment.checker.clock()
         )
@@ -97,5 +97,5 @@
         write_entry(self.deployment.store.put, upstream, 'draining')
         await trio.sleep(LEAVING_SECONDS)
         expected.ended[upstream.name] = self.deployment.checker.clock()
-        upstream.condition = Condition.DARK
+        upstream.condition = Condition.UNRESPONSIVE
         self.deployment.deregister(upstream)
--- a/tests/steps/lab_soak.py
+++ b/tests/steps/lab_soak.py
@@ -151,7 +151,7 @@
 @when('a flow on a dark upstream is reset')
 def reset_dark(context: Context) -> None:
     """Reset a flow whose upstream has failed."""
-    context.upstream.condition = Condition.DARK
+    context.upstream.condition = Condition.UNRESPONSIVE
     context.checker.check_reset(context.flow)
 
 
--- a/tests/steps/packets_power.py
+++ b/tests/steps/packets_power.py
@@ -141,7 +141,7 @@
     """Start another process before the entry of the old one expires."""
     world = world_of(context)
     select_upstream(context, busiest(context))
-    context.selected.condition = Condition.DARK
+    context.selected.condition = Condition.UNRESPONSIVE
     world.run(0.1)
     world.replace_upstream(context.selected)
 
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -295,7 +295,7 @@
 def fall_silent(context: Context) -> None:
     """Make the upstream with the most flows unresponsive."""
     select_upstream(context, busiest(context))
-    context.selected.condition = Condition.DARK
+    context.selected.condition = Condition.UNRESPONSIVE
 
 
 @when('all upstreams stop answering and their entries are removed')
@@ -303,7 +303,7 @@
     """Make all upstreams unresponsive and remove their entries."""
     world = world_of(context)
     for upstream in world.upstreams.values():
-        upstream.condition = Condition.DARK
+        upstream.condition = Condition.UNRESPONSIVE
         world.deregister(upstream)
 
 
