--- a/burdocksill_lab/packets/outage.py
+++ b/burdocksill_lab/packets/outage.py
@@ -152,7 +152,7 @@
     def restart_failed(self) -> None:
         """Start new processes for the failed upstreams."""
         for upstream in self.failed:
-            upstream.condition = Condition.WELL
+            upstream.condition = Condition.HEALTHY
             upstream.running = 0
             entry = upstream.entry('ready', born=2)
             self.world.put_entry(upstream, entry)
--- a/burdocksill_lab/packets/upstream.py
+++ b/burdocksill_lab/packets/upstream.py
@@ -33,7 +33,7 @@
 class Condition(enum.Enum):
     """Fault that is injected into an upstream."""
 
-    WELL = 'well'
+    HEALTHY = 'well'
     # The process or its link is down: nothing is answered.
     UNRESPONSIVE = 'dark'
     # The process has ended; its host answers each packet with a reset.
@@ -67,7 +67,7 @@
     queue_limit: int | None = None
     # Draws the factor by which `work_seconds` is multiplied for a request.
     draw_work_factor: Callable[[], float] = lambda: 1.0
-    condition: Condition = Condition.WELL
+    condition: Condition = Condition.HEALTHY
     flows: dict[tuple[int, ...], FlowState] = attrs.field(factory=dict)
     queue: deque[tuple[Packet, FlowState]] = attrs.field(factory=deque)
     running: int = 0
@@ -150,7 +150,7 @@
     def finish(self, packet: Packet, flow: FlowState) -> None:
         """Send the answer of a request; free its slot."""
         self.running -= 1
-        if self.condition is not Condition.WELL:
+        if self.condition is not Condition.HEALTHY:
             return
         self.ran += 1
         self.answer(packet, flow, ACK, ANSWER_BYTES)
--- a/burdocksill_lab/soak/judge.py
+++ b/burdocksill_lab/soak/judge.py
@@ -168,7 +168,7 @@
             )
             return
         upstream = self.upstreams.get(flow.echo)
-        if upstream is None or upstream.condition is not Condition.WELL:
+        if upstream is None or upstream.condition is not Condition.HEALTHY:
             return
         ended = self.expected.ended.get(upstream.name, float('-inf'))
         if self.clock() - self.stalled_at < STALL_GRACE_SECONDS:
--- a/tests/steps/packets_outages.py
+++ b/tests/steps/packets_outages.py
@@ -96,7 +96,7 @@
     """Refuse openings for a time, then continue with the same processes."""
     fail_all(context, seconds)
     for upstream in first_upstreams(context):
-        upstream.condition = Condition.WELL
+        upstream.condition = Condition.HEALTHY
         upstream.running = 0
     context.deployment.world.run(5)
 
--- a/tests/steps/packets_world.py
+++ b/tests/steps/packets_world.py
@@ -353,7 +353,7 @@
     world = world_of(context)
     upstream = context.selected
     upstream.restart()
-    upstream.condition = Condition.WELL
+    upstream.condition = Condition.HEALTHY
     value = json.dumps(upstream.entry('ready', born=2)).encode()
     world.put(UPSTREAMS + upstream.name, value)
 
