--- a/burdocksill_lab/commands/packets.py
+++ b/burdocksill_lab/commands/packets.py
@@ -14,7 +14,7 @@
 
 from burdocksill.packets.header import flow_id
 from burdocksill_lab.packets.client import Outcome
-from burdocksill_lab.packets.loopback import LoopbackDay
+from burdocksill_lab.packets.loopback import LoopbackDeployment
 from burdocksill_lab.packets.upstream import Condition
 from burdocksill_lab.processes import free_port
 
@@ -28,7 +28,7 @@
 LATER_FLOWS: Final = 6
 UNKNOWN_PORT: Final = 9999
 UNKNOWN_FLOWS: Final = 3
-Trouble = Callable[[LoopbackDay], Awaitable[None]]
+Trouble = Callable[[LoopbackDeployment], Awaitable[None]]
 
 
 @attrs.frozen(kw_only=True)
@@ -75,7 +75,7 @@
         sys.exit(1)
 
 
-def show_failures(day: LoopbackDay) -> None:
+def show_failures(day: LoopbackDeployment) -> None:
     """Print each flow on which a request failed."""
     for flow in day.flows:
         for request in flow.requests:
@@ -83,11 +83,11 @@
                 click.echo(f'{request.outcome.value}: {flow_id(flow.key)}')
 
 
-async def play(folder: Path, plan: DayPlan) -> LoopbackDay:
+async def play(folder: Path, plan: DayPlan) -> LoopbackDeployment:
     """Play the day and return it."""
     async with trio.open_nursery() as nursery:
         port = free_port('127.0.0.1')
-        day = LoopbackDay(nursery=nursery, folder=folder, port=port)
+        day = LoopbackDeployment(nursery=nursery, folder=folder, port=port)
         try:
             await day.start(nodes=plan.nodes, upstreams=plan.upstreams)
             await serve(day, plan)
@@ -96,7 +96,7 @@
     return day
 
 
-async def serve(day: LoopbackDay, plan: DayPlan) -> None:
+async def serve(day: LoopbackDeployment, plan: DayPlan) -> None:
     """Send requests, with some trouble meanwhile."""
     click.echo(f'{len(day.nodes)} nodes are ready')
     day.open_flows(plan.flows)
@@ -106,7 +106,7 @@
     await trio.sleep(SETTLE_SECONDS)
 
 
-async def restart_in_turn(day: LoopbackDay) -> None:
+async def restart_in_turn(day: LoopbackDeployment) -> None:
     """Stop each node by SIGTERM and start it again."""
     for node in day.nodes:
         click.echo(f'{node.host} is stopped')
@@ -119,7 +119,7 @@
         click.echo(f'{node.host} is back')
 
 
-async def kill_node(day: LoopbackDay) -> None:
+async def kill_node(day: LoopbackDeployment) -> None:
     """Kill a node; once routers have noticed, open flows at the others."""
     await trio.sleep(TROUBLE_SECONDS)
     # A node takes requests with it for as long as routers send to it: just
@@ -131,14 +131,14 @@
     day.open_flows(LATER_FLOWS)
 
 
-async def silence_upstream(day: LoopbackDay) -> None:
+async def silence_upstream(day: LoopbackDeployment) -> None:
     """Let an upstream lose power."""
     await trio.sleep(TROUBLE_SECONDS)
     click.echo(f'{day.upstreams[0].name} falls silent')
     day.upstreams[0].condition = Condition.UNRESPONSIVE
 
 
-async def use_unknown_port(day: LoopbackDay) -> None:
+async def use_unknown_port(day: LoopbackDeployment) -> None:
     """Send openings to a port that no route has."""
     await trio.sleep(TROUBLE_SECONDS)
     click.echo(f'flows to port {UNKNOWN_PORT}')
--- a/burdocksill_lab/packets/loopback.py
+++ b/burdocksill_lab/packets/loopback.py
@@ -194,7 +194,7 @@
 
 
 @attrs.define(kw_only=True)
-class LoopbackDay:
+class LoopbackDeployment:
     """Node processes with a simulated store, upstreams, routers, clients."""
 
     nursery: trio.Nursery
--- a/tests/steps/packets_start.py
+++ b/tests/steps/packets_start.py
@@ -27,7 +27,7 @@
 from burdocksill.platform.records import ALL_KEYS
 from burdocksill_lab.commands.packets import UNKNOWN_PORT, restart_in_turn
 from burdocksill_lab.packets.client import Outcome
-from burdocksill_lab.packets.loopback import LoopbackDay, NodeProcess
+from burdocksill_lab.packets.loopback import LoopbackDeployment, NodeProcess
 from burdocksill_lab.packets.store import LabStore, StoreFault
 from burdocksill_lab.packets.world import PacketWorld
 from burdocksill_lab.processes import free_port
@@ -40,17 +40,17 @@
 MEASURED = 5
 # Longest time to wait for a log line.
 LINE_SECONDS = 10.0
-Work = Callable[[LoopbackDay], Awaitable[None]]
+Work = Callable[[LoopbackDeployment], Awaitable[None]]
 
 
-def run_deployment(context: Context, work: Work) -> LoopbackDay:
+def run_deployment(context: Context, work: Work) -> LoopbackDeployment:
     """Run a deployment on loopback and some work in it."""
     nodes, upstreams, flows = context.sizes
     folder = Path(tempfile.mkdtemp())
 
-    async def main() -> LoopbackDay:
+    async def main() -> LoopbackDeployment:
         async with trio.open_nursery() as nursery:
-            day = LoopbackDay(
+            day = LoopbackDeployment(
                 nursery=nursery,
                 folder=folder,
                 port=free_port('127.0.0.1'),
@@ -96,7 +96,7 @@
 def restart_all(context: Context) -> None:
     """Send requests during a rolling restart of all nodes."""
 
-    async def work(day: LoopbackDay) -> None:
+    async def work(day: LoopbackDeployment) -> None:
         done = trio.Event()
 
         async def replace() -> None:
@@ -115,7 +115,7 @@
 def silence_store(context: Context, seconds: int) -> None:
     """Send requests while the store does not answer."""
 
-    async def work(day: LoopbackDay) -> None:
+    async def work(day: LoopbackDeployment) -> None:
         await day.request_all(1, 0.2)
         day.store.injected_fault = StoreFault.SILENT
         await day.request_all(seconds, 1.0)
@@ -156,7 +156,7 @@
 def check_line(context: Context, message: str, text: str) -> None:
     """Run a deployment, make the stored changes and wait for the line."""
 
-    async def work(day: LoopbackDay) -> None:
+    async def work(day: LoopbackDeployment) -> None:
         node = day.nodes[0]
         settings = day.folder / f'{node.host}.conf'
         await find_line(node, LOADED)
@@ -222,7 +222,7 @@
     context.starts = []
     context.imports = []
 
-    async def work(day: LoopbackDay) -> None:
+    async def work(day: LoopbackDeployment) -> None:
         node = day.nodes[0]
         for _ in range(count):
             node.process.kill()
@@ -349,7 +349,7 @@
 def read_metrics(context: Context, rounds: int) -> None:
     """Send requests, then fetch the page."""
 
-    async def work(day: LoopbackDay) -> None:
+    async def work(day: LoopbackDeployment) -> None:
         await day.request_all(rounds, 0.3)
         await trio.sleep(0.5)
         node = day.nodes[0]
@@ -385,7 +385,7 @@
 def open_unknown(context: Context, gap: float, seconds: int) -> None:
     """Open flows to a port without a route."""
 
-    async def work(day: LoopbackDay) -> None:
+    async def work(day: LoopbackDeployment) -> None:
         for _ in range(round(seconds / gap)):
             day.open_flows(1, UNKNOWN_PORT)
             day.flows[-1].request()
