--- a/burdocksill_lab/commands/soak.py
+++ b/burdocksill_lab/commands/soak.py
@@ -8,7 +8,7 @@
 import attrs
 import click
 
-from burdocksill_lab.soak.broken import GUARDS
+from burdocksill_lab.soak.broken import SAFEGUARDS
 from burdocksill_lab.soak.day import SoakSize
 from burdocksill_lab.soak.run import SoakReport, SoakSettings, play
 
@@ -41,7 +41,7 @@
 @click.option(
     '--without',
     default='',
-    type=click.Choice(['', *GUARDS]),
+    type=click.Choice(['', *SAFEGUARDS]),
     help='Run nodes without one guard, as a control.',
 )
 @click.option(
--- a/burdocksill_lab/soak/broken.py
+++ b/burdocksill_lab/soak/broken.py
@@ -70,7 +70,7 @@
     StateUpdater.apply_manifest = apply_first  # type: ignore[method-assign]
 
 
-GUARDS: Final[Mapping[str, Callable[[], None]]] = MappingProxyType(
+SAFEGUARDS: Final[Mapping[str, Callable[[], None]]] = MappingProxyType(
     {
         'drain': ignore_draining,
         'domains': ignore_domains,
@@ -85,7 +85,7 @@
 def main() -> None:
     """Disable the safeguard named by the first argument and run the node."""
     early = bind_early()
-    GUARDS[sys.argv[1]]()
+    SAFEGUARDS[sys.argv[1]]()
     from burdocksill.packets.main import main as run_node
 
     run_node(early)
