--- a/burdocksill_lab/soak/day.py
+++ b/burdocksill_lab/soak/day.py
@@ -29,7 +29,7 @@
     write_entry,
     write_manifest,
 )
-from burdocksill_lab.soak.judge import SoakChecker
+from burdocksill_lab.soak.checker import SoakChecker
 from burdocksill_lab.soak.proxy import StoreProxy
 
 DOMAINS: Final = ('a', 'b')
--- a/burdocksill_lab/soak/run.py
+++ b/burdocksill_lab/soak/run.py
@@ -11,13 +11,13 @@
 
 from burdocksill_lab.packets.world import ROUTE_PORT
 from burdocksill_lab.processes import free_port
+from burdocksill_lab.soak.checker import SoakChecker, Violation
 from burdocksill_lab.soak.day import (
     DOMAINS,
     TOGGLED_PORT,
     SoakDeployment,
     SoakSize,
 )
-from burdocksill_lab.soak.judge import SoakChecker, Violation
 from burdocksill_lab.soak.plan import ROUND_SECONDS, PlannedFault, draw_plan
 from burdocksill_lab.soak.processes import check_logs, check_processes
 from burdocksill_lab.soak.troubles import FaultInjector
