--- a/burdocksill_lab/commands/soak.py
+++ b/burdocksill_lab/commands/soak.py
@@ -9,7 +9,7 @@
 import click
 
 from burdocksill_lab.soak.broken import SAFEGUARDS
-from burdocksill_lab.soak.day import SoakSize
+from burdocksill_lab.soak.deployment import SoakSize
 from burdocksill_lab.soak.run import SoakReport, SoakSettings, play
 
 KILOBYTE: Final = 1000
--- a/burdocksill_lab/soak/changes.py
+++ b/burdocksill_lab/soak/changes.py
@@ -7,7 +7,7 @@
 
 from burdocksill_lab.packets.upstream import Condition, LabUpstream
 from burdocksill_lab.packets.world import ROUTE_PORT, write_entry
-from burdocksill_lab.soak.day import (
+from burdocksill_lab.soak.deployment import (
     DOMAINS,
     OTHER_SERVICE,
     SERVICE,
--- a/burdocksill_lab/soak/processes.py
+++ b/burdocksill_lab/soak/processes.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from typing import Final
 
-from burdocksill_lab.soak.day import SoakDeployment
+from burdocksill_lab.soak.deployment import SoakDeployment
 
 MEGABYTE: Final = 1 << 20
 # Twice the resident memory of a node after a minute of traffic.
--- a/burdocksill_lab/soak/run.py
+++ b/burdocksill_lab/soak/run.py
@@ -12,7 +12,7 @@
 from burdocksill_lab.packets.world import ROUTE_PORT
 from burdocksill_lab.processes import free_port
 from burdocksill_lab.soak.checker import SoakChecker, Violation
-from burdocksill_lab.soak.day import (
+from burdocksill_lab.soak.deployment import (
     DOMAINS,
     TOGGLED_PORT,
     SoakDeployment,
--- a/burdocksill_lab/soak/troubles.py
+++ b/burdocksill_lab/soak/troubles.py
@@ -14,7 +14,7 @@
 from burdocksill_lab.packets.upstream import LabUpstream
 from burdocksill_lab.packets.world import write_entry
 from burdocksill_lab.soak.changes import Changes
-from burdocksill_lab.soak.day import SoakDeployment, SoakNode, until
+from burdocksill_lab.soak.deployment import SoakDeployment, SoakNode, until
 from burdocksill_lab.soak.plan import CHANGES, FaultKind, PlannedFault
 from burdocksill_lab.soak.proxy import LinkFault
 
--- a/tests/steps/lab_soak.py
+++ b/tests/steps/lab_soak.py
@@ -11,7 +11,7 @@
 from burdocksill_lab.packets.network import DatagramNetwork, VirtualTimeline
 from burdocksill_lab.packets.upstream import Condition, LabUpstream
 from burdocksill_lab.soak.checker import SoakChecker
-from burdocksill_lab.soak.day import SoakSize
+from burdocksill_lab.soak.deployment import SoakSize
 from burdocksill_lab.soak.plan import draw_plan
 from burdocksill_lab.soak.run import SoakSettings, play
 
