--- a/burdocksill_lab/soak/run.py
+++ b/burdocksill_lab/soak/run.py
@@ -18,9 +18,9 @@
     SoakDeployment,
     SoakSize,
 )
+from burdocksill_lab.soak.injector import FaultInjector
 from burdocksill_lab.soak.plan import ROUND_SECONDS, PlannedFault, draw_plan
 from burdocksill_lab.soak.processes import check_logs, check_processes
-from burdocksill_lab.soak.troubles import FaultInjector
 
 USERS_PER_DOMAIN: Final = 12
 # Users that open a flow per request: only openings show where new flows are
