--- a/burdocksill/entry/fleet.py
+++ b/burdocksill/entry/fleet.py
@@ -116,7 +116,7 @@
             or self.gossip.in_sync.is_set()
         ):
             return
-        logger.warning('waiting for documents: platform and peers unavailable')
+        logger.warning('neither platform nor peers tell the documents')
         async with trio.open_nursery() as nursery:
             for source in (self.platform_watcher.synced, self.gossip.in_sync):
                 nursery.start_soon(
