--- a/burdocksill/packets/flows.py
+++ b/burdocksill/packets/flows.py
@@ -59,7 +59,7 @@
         last_seen_at: float,
         objective_seconds: float = 0,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments and start without unanswered data."""
         self.upstream = upstream
         self.last_seen_at = last_seen_at
         self.ack: int = 0
@@ -86,7 +86,7 @@
         limit: int = MAX_FLOWS,
         table: RoutingTable | None = None,
     ) -> None:
-        """Take all fields."""
+        """Store the limit and the routing table, and start without flows."""
         self.limit = limit
         self.flows: dict[FlowKey, TrackedFlow] = {}
         # True while packets wait long in the socket, so that retransmissions
--- a/burdocksill/packets/health.py
+++ b/burdocksill/packets/health.py
@@ -69,7 +69,7 @@
         since: float,
         retransmissions: int = 1,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments; `since` is when the wait began."""
         self.since = since
         self.retransmissions = retransmissions
 
--- a/burdocksill/packets/isolation.py
+++ b/burdocksill/packets/isolation.py
@@ -44,7 +44,7 @@
         upstreams: UpstreamRegistry,
         outages: DomainOutageDetector,
     ) -> None:
-        """Take all fields; `domains_out` are those taken out of service."""
+        """Store the collaborators; the placer's `domains_out` is not copied."""
         self.domain = domain
         self.domains_out = domains_out
         self.upstreams = upstreams
--- a/burdocksill/packets/losses.py
+++ b/burdocksill/packets/losses.py
@@ -31,7 +31,7 @@
         upstreams: UpstreamRegistry,
         flows: FlowTable,
     ) -> None:
-        """Take all fields."""
+        """Store the collaborators."""
         self.upstreams = upstreams
         self.flows = flows
 
--- a/burdocksill/packets/openings.py
+++ b/burdocksill/packets/openings.py
@@ -46,7 +46,7 @@
         flow: TrackedFlow,
         due_at: float,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.key = key
         self.flow = flow
         self.due_at = due_at
--- a/burdocksill/packets/outages.py
+++ b/burdocksill/packets/outages.py
@@ -195,7 +195,7 @@
         answered: int,
         since: float,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         # The reporters of each upstream that did not answer.
         self.missed = missed
         # Number of upstreams that have answered since `since`.
--- a/burdocksill/packets/placement.py
+++ b/burdocksill/packets/placement.py
@@ -107,7 +107,7 @@
         node_count: int = ASSUMED_NODES,
         outages: DomainOutageDetector | None = None,
     ) -> None:
-        """Take all fields."""
+        """Store the collaborators and start with all domains in service."""
         self.domain = domain
         self.table = table
         self.upstreams = upstreams
--- a/burdocksill/packets/store_cache.py
+++ b/burdocksill/packets/store_cache.py
@@ -28,7 +28,7 @@
         *,
         clock: Clock = boot_seconds,
     ) -> None:
-        """Take all fields."""
+        """Store the clock and start without a synchronisation."""
         self.clock = clock
         # Revision up to which all changes are known; 0: none are.
         self.revision: int = 0
@@ -72,7 +72,7 @@
         progress: SyncProgress,
         clock: Clock,
     ) -> None:
-        """Take all fields."""
+        """Store the collaborators and start without keys and listeners."""
         self.updater = updater
         self.progress = progress
         # Monotonic clock by which absences of upstreams are measured.
--- a/burdocksill/packets/upstreams.py
+++ b/burdocksill/packets/upstreams.py
@@ -59,7 +59,7 @@
         first_seen_at: float,
         limiter: ConcurrencyLimiter,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments and start without flows or observations."""
         self.record = record
         self.echo = echo
         self.first_seen_at = first_seen_at
--- a/burdocksill/peers/messages.py
+++ b/burdocksill/peers/messages.py
@@ -21,7 +21,7 @@
     """Relay a caller's datagram to the VM that owns its upstream.
 
     `upstream` is set for a new flow only; the owner decides whether to use it.
-    `refused` tells that the holder of the request's epoch refused it.
+    `refused` means that the holder of the request's epoch has refused it.
     """
 
     raw: bytes
--- a/burdocksill/readers/exchange.py
+++ b/burdocksill/readers/exchange.py
@@ -254,7 +254,7 @@
         """Return True when another node has become the reader meanwhile.
 
         All nodes of a domain notice a missing reader at once. Without this
-        check each of them would request a lease in vain.
+        check each of them would request a lease, but only one can be elected.
         """
         stored = await self.store.read(self.key, stale=True)
         if stored is None:
--- a/burdocksill/readers/messages.py
+++ b/burdocksill/readers/messages.py
@@ -17,7 +17,7 @@
         name: str,
         address: Address,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.name = name
         self.address = address
 
@@ -37,7 +37,7 @@
         reader: Reader | None = None,
         revision: int = 0,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.domain = domain
         self.reader = reader
         self.revision = revision
@@ -59,7 +59,7 @@
         at: float,
         reporter: int,
     ) -> None:
-        """Take all fields."""
+        """Store the arguments."""
         self.echo = echo
         self.answered = answered
         self.at = at
