--- a/tests/steps/packets_isolation.py
+++ b/tests/steps/packets_isolation.py
@@ -8,7 +8,7 @@
 from burdocksill_lab.packets.outage import OutageDeployment
 from burdocksill_lab.packets.store import StoreFault
 
-MUTED = 'unanswered_up_to'
+MUTED = 'muted'
 # Time for openings in transit when a domain is taken out of service.
 TRANSIT_SECONDS = 0.1
 
