--- a/tests/steps/packets_outages.py
+++ b/tests/steps/packets_outages.py
@@ -112,7 +112,7 @@
     deployment.failed_at = deployment.world.timeline.now
     for _ in range(round(2 / gap)):
         now = deployment.world.timeline.now
-        faulty.claim(
+        faulty.send_forged(
             [
                 Observation(
                     echo=upstream.tag & 0xFFFFFFFF,
--- a/tests/steps/packets_reporters.py
+++ b/tests/steps/packets_reporters.py
@@ -52,7 +52,7 @@
 def send_false_reports(peer: ObservationPeer, context: Context) -> None:
     """Send false reports about three upstreams."""
     now = peer.exchange.clock()
-    peer.claim(
+    peer.send_forged(
         [
             Observation(
                 echo=one.tag & 0xFFFFFFFF, answered=False, at=now, reporter=1
